--- a/kumquatshift/cli/changes.py
+++ b/kumquatshift/cli/changes.py
@@ -10,7 +10,7 @@
 from ..consistency import check_change, check_removal, unserved
 from ..engine.objects import Body, Kind, Versioned
 from ..errors import ErrorKind, Failure
-from .files import Wanted
+from .files import DesiredObject
 
 ORDER = (Kind.PROFILE, Kind.SERVICE, Kind.DOMAIN, Kind.TARGET)
 
@@ -81,10 +81,10 @@
     notes: tuple[str, ...] = ()
 
     @classmethod
-    def of(cls, standing: Sequence[Versioned], changes: Sequence[Change]) -> "Plan":
+    def of(cls, current: Sequence[Versioned], changes: Sequence[Change]) -> "Plan":
         """Return the plan, noting the services that it leaves without targets."""
-        before = {(obj.kind, obj.name): obj.body for obj in standing if obj.body}
-        after = before | {(one.kind, one.name): one.after for one in changes}
+        before = {(obj.kind, obj.name): obj.body for obj in current if obj.body}
+        after = before | {(item.kind, item.name): item.after for item in changes}
         lost = unserved(filter(None, after.values())) - unserved(before.values())
         known = {name for kind, name in before if kind is Kind.SERVICE}
         notes = [
@@ -106,57 +106,57 @@
 
 
 def plan_apply(
-    standing: Sequence[Versioned], wanted: Sequence[Wanted]
+    current: Sequence[Versioned], desired: Sequence[DesiredObject]
 ) -> Result[Plan, Failure]:
     """Return the changes, those that others need first; check what they lead to.
 
     A state that the file does not name stays as it stands, so that applying a
     file never brings back what operators have taken out.
     """
-    live = {(obj.kind, obj.name): obj for obj in standing if obj.body is not None}
+    live = {(obj.kind, obj.name): obj for obj in current if obj.body is not None}
     changes = []
-    for one in sorted(wanted, key=lambda one: ORDER.index(one.kind)):
-        before = live.get((one.kind, one.body.name))
-        stale = _check_version(one, before)
+    for item in sorted(desired, key=lambda item: ORDER.index(item.kind)):
+        before = live.get((item.kind, item.body.name))
+        stale = _check_version(item, before)
         if stale:
             return result.Failure(stale)
-        after = _keep_state(one, before)
-        changes.append(Change(one.kind, one.body.name, before, after))
+        after = _preserve_state(item, before)
+        changes.append(Change(item.kind, item.body.name, before, after))
     bodies = [obj.body for obj in live.values()]
     checked = check_change(bodies, [change.after for change in changes])
-    return checked.map(lambda _: Plan.of(standing, changes))
+    return checked.map(lambda _: Plan.of(current, changes))
 
 
-def plan_state(
-    standing: Sequence[Versioned], kind: Kind, name: str, state
+def plan_state_change(
+    current: Sequence[Versioned], kind: Kind, name: str, state
 ) -> Result[Plan, Failure]:
     """Return the change of one object's state."""
 
     def plan(obj):
         change = Change(kind, name, obj, replace(obj.body, state=state), True)
-        return Plan.of(standing, [change])
+        return Plan.of(current, [change])
 
-    return find(standing, kind, name).map(plan)
+    return find_object(current, kind, name).map(plan)
 
 
 def plan_remove(
-    standing: Sequence[Versioned], kind: Kind, name: str
+    current: Sequence[Versioned], kind: Kind, name: str
 ) -> Result[Plan, Failure]:
     """Return the removal of one object; refuse it while others need it."""
-    bodies = [obj.body for obj in standing if obj.body is not None]
+    bodies = [obj.body for obj in current if obj.body is not None]
 
     def check(obj):
         allowed = check_removal(bodies, (kind, name))
-        return allowed.map(lambda _: Plan.of(standing, [Change(kind, name, obj, None)]))
+        return allowed.map(lambda _: Plan.of(current, [Change(kind, name, obj, None)]))
 
-    return find(standing, kind, name).bind(check)
+    return find_object(current, kind, name).bind(check)
 
 
-def find(
-    standing: Sequence[Versioned], kind: Kind, name: str
+def find_object(
+    current: Sequence[Versioned], kind: Kind, name: str
 ) -> Result[Versioned, Failure]:
     """Return one live object by its name."""
-    for obj in standing:
+    for obj in current:
         if (obj.kind, obj.name) == (kind, name) and obj.body is not None:
             return Success(obj)
     text = f"{subject(kind, name)} does not exist"
@@ -164,21 +164,27 @@
     return result.Failure(Failure(ErrorKind.NOT_FOUND, text, remedy))
 
 
-def _keep_state(one, before):
-    if before is None or "state" in one.given or not hasattr(one.body, "state"):
-        return one.body
-    return replace(one.body, state=before.body.state)
+def _preserve_state(item, before):
+    if (
+        before is None
+        or "state" in item.specified_fields
+        or not hasattr(item.body, "state")
+    ):
+        return item.body
+    return replace(item.body, state=before.body.state)
 
 
-def _check_version(one, before):
+def _check_version(item, before):
     found = before.version if before else 0
-    if one.version is None or one.version == found:
+    if item.version is None or item.version == found:
         return None
-    about = subject(kind_of(one.body), one.body.name)
-    text = f"{about}: the file is made from version {one.version}"
+    subject_name = subject(kind_of(item.body), item.body.name)
+    text = f"{subject_name}: the file is made from version {item.version}"
     text += f", but {f'version {found}' if found else 'nothing'} stands"
     if before is not None:
-        told = "; ".join(str(diff) for diff in differences(before.body, one.body))
-        text += f" (operation {before.operation or 'unnamed'}); it differs in: {told}"
-    remedy = f"merge with: kumquat-ctl {one.kind} show {one.body.name}"
+        details = "; ".join(str(diff) for diff in differences(before.body, item.body))
+        text += (
+            f" (operation {before.operation or 'unnamed'}); it differs in: {details}"
+        )
+    remedy = f"merge with: kumquat-ctl {item.kind} show {item.body.name}"
     return Failure(ErrorKind.CONFLICT, text, remedy)
--- a/kumquatshift/cli/definition.py
+++ b/kumquatshift/cli/definition.py
@@ -28,7 +28,7 @@
     """An argument is not what its command takes."""
 
 
-class _Objects:
+class _ObjectCommands:
     """Commands that every kind of object has."""
 
     def __init__(self, kind: Kind):
@@ -50,7 +50,7 @@
             json: print JSON instead of INI
         """
         return ShowRequest(
-            self._kind, read_word("--name", name), read_switch("--json", json)
+            self._kind, read_text("--name", name), read_switch("--json", json)
         )
 
     def apply(self, file, *, wait="", dry_run="False", json="False"):
@@ -63,7 +63,7 @@
             json: print JSON
         """
         options = read_options(wait, dry_run, json)
-        return ApplyRequest(read_word("--file", file), self._kind, options)
+        return ApplyRequest(read_text("--file", file), self._kind, options)
 
     def remove(self, name, *, wait="", dry_run="False", json="False"):
         """Delete one object that no other one needs.
@@ -75,22 +75,22 @@
             json: print JSON
         """
         options = read_options(wait, dry_run, json)
-        return RemoveRequest(self._kind, read_word("--name", name), options)
+        return RemoveRequest(self._kind, read_text("--name", name), options)
 
     def _set_state(self, name, state, wait, dry_run, json):
         options = read_options(wait, dry_run, json)
-        return StateRequest(self._kind, read_word("--name", name), state, options)
+        return StateRequest(self._kind, read_text("--name", name), state, options)
 
 
-class ProfileCommands(_Objects):
+class ProfileCommands(_ObjectCommands):
     """Traffic profiles: how the traffic of a service is treated."""
 
 
-class ServiceCommands(_Objects):
+class ServiceCommands(_ObjectCommands):
     """Services: the addresses that callers use."""
 
 
-class TargetCommands(_Objects):
+class TargetCommands(_ObjectCommands):
     """Targets: the back ends of services."""
 
     def admit(self, name, *, wait="", dry_run="False", json="False"):
@@ -116,7 +116,7 @@
         return self._set_state(name, TargetState.RETIRED, wait, dry_run, json)
 
 
-class DomainCommands(_Objects):
+class DomainCommands(_ObjectCommands):
     """Failure domains, which operators take out and bring back."""
 
     def out(self, name, *, wait="", dry_run="False", json="False"):
@@ -169,7 +169,7 @@
             json: print JSON
         """
         options = read_options(wait, dry_run, json)
-        return ApplyRequest(read_word("--file", file), None, options)
+        return ApplyRequest(read_text("--file", file), None, options)
 
     def diff(self, file, *, json="False"):
         """Compare a file with the platform; exit status 0 even if they differ.
@@ -178,7 +178,7 @@
             file: INI or JSON; see docs/OPERATORS.md
             json: print JSON
         """
-        return DiffRequest(read_word("--file", file), read_switch("--json", json))
+        return DiffRequest(read_text("--file", file), read_switch("--json", json))
 
     def status(self, *, json="False"):
         """Show domains, entries, targets, flows and versions in force.
@@ -194,7 +194,7 @@
         Args:
             entry: its name or its IP address
         """
-        return DumpRequest(read_word("--entry", entry))
+        return DumpRequest(read_text("--entry", entry))
 
     def check(self, settings):
         """Check a settings file of kumquat-ctl and tell every mistake.
@@ -202,7 +202,7 @@
         Args:
             settings: the INI file
         """
-        return CheckRequest(read_word("--settings", settings))
+        return CheckRequest(read_text("--settings", settings))
 
     def explain(self, log, *, flow="", target="", second=""):
         """Tell from the log of entries why a flow failed, or all that failed.
@@ -215,10 +215,10 @@
         """
         words = {"--flow": flow, "--target": target}
         flow, target = (
-            value and read_word(flag, value) for flag, value in words.items()
+            value and read_text(flag, value) for flag, value in words.items()
         )
-        begin = read_second(second) if second else None
-        return ExplainRequest(read_word("--log", log), flow, target, begin)
+        start_time = read_second(second) if second else None
+        return ExplainRequest(read_text("--log", log), flow, target, start_time)
 
     def wait(self, seconds, *, json="False"):
         """Wait until what stands now is in force at every entry in reach.
@@ -239,7 +239,7 @@
     )
 
 
-def read_word(flag, value) -> str:
+def read_text(flag, value) -> str:
     """Return an argument; fire gives True for a flag with nothing after it."""
     if not isinstance(value, str):
         raise UsageError(f"{flag}: nothing after it; allowed: one value")
@@ -256,7 +256,7 @@
 def read_second(value) -> int:
     """Return the second that a time of a log is in."""
     try:
-        return math.floor(float(read_word("--second", value)))
+        return math.floor(float(read_text("--second", value)))
     except (ValueError, OverflowError):
         allowed = "allowed: a time as in the log, such as 1787660367.765"
         raise UsageError(f"--second: found {value!r}; {allowed}") from None
@@ -265,7 +265,7 @@
 def read_wait(value) -> float:
     """Return a number of seconds to wait."""
     try:
-        seconds = float(read_word("--wait", value))
+        seconds = float(read_text("--wait", value))
     except ValueError:
         seconds = math.nan
     if not 0 < seconds <= MAX_WAIT_S:
--- a/kumquatshift/cli/entries.py
+++ b/kumquatshift/cli/entries.py
@@ -14,7 +14,7 @@
 from ..tls import entry_agent
 from .constants import ADMIN_PORT, CALL_TIMEOUT_S
 
-CLEAR = TlsSection("", "", "")
+NO_TLS = TlsSection("", "", "")
 
 
 @dataclass(frozen=True)
@@ -30,7 +30,7 @@
 class EntryClient:
     """Fetches JSON from entries; every answer arrives within two seconds."""
 
-    def __init__(self, reactor, port: int = ADMIN_PORT, tls: TlsSection = CLEAR):
+    def __init__(self, reactor, port: int = ADMIN_PORT, tls: TlsSection = NO_TLS):
         self._reactor = reactor
         self._port = port
         self._scheme = "https" if tls.enabled else "http"
@@ -49,10 +49,10 @@
         fut = self._http.get(url, reactor=self._reactor)
         fut.addCallback(_read)
         limit(fut, CALL_TIMEOUT_S, self._reactor)
-        return fut.addErrback(_failed, entry, url)
+        return fut.addErrback(_unreachable, entry, url)
 
 
-def ask_all(entries, call) -> Deferred:
+def query_all(entries, call) -> Deferred:
     """Give ``{name: Result}`` of one call to every entry at once."""
     fut = gatherResults([call(entry) for entry in entries])
     names = [entry.name for entry in entries]
@@ -71,7 +71,7 @@
     return Success(value)
 
 
-def _failed(reason, entry, url):
+def _unreachable(reason, entry, url):
     text = f"entry {entry.name} is out of reach at {url}: {told(reason)}"
     remedy = "see whether its VM runs, and whether its domain is cut off"
     return result.Failure(Failure(ErrorKind.UNAVAILABLE, text, remedy))
--- a/kumquatshift/cli/execution.py
+++ b/kumquatshift/cli/execution.py
@@ -14,9 +14,9 @@
 from ..platform_port import Platform
 from ..status import ExitStatus
 from . import outcomes, report
-from .changes import Plan, plan_apply, plan_remove, plan_state
+from .changes import Plan, plan_apply, plan_remove, plan_state_change
 from .constants import ENTRY_ROLE, PROGRAM, STDIN
-from .entries import Entry, EntryClient, ask_all
+from .entries import Entry, EntryClient, query_all
 from .files import read_objects
 from .printing import Printer
 from .requests import (
@@ -31,10 +31,10 @@
     StatusRequest,
     WaitRequest,
 )
-from .waiting import Wish, wait_in_force, wishes
+from .waiting import RequiredVersion, required_versions, wait_in_force
 from .writer import Writer, new_operation
 
-DONE = result.Success(ExitStatus.SUCCESS)
+EXIT_SUCCESS = result.Success(ExitStatus.SUCCESS)
 
 
 class Executor:
@@ -63,73 +63,75 @@
 
     async def run(self, request) -> ExitStatus:
         """Do it, print the answer, and tell a failure on the error stream."""
-        answer = await self._do(request)
+        answer = await self._dispatch(request)
         if is_successful(answer):
             return answer.unwrap()
         return self._printer.failure(answer.failure())
 
     @singledispatchmethod
-    async def _do(self, request) -> Result[ExitStatus, Failure]:
+    async def _dispatch(self, request) -> Result[ExitStatus, Failure]:
         raise TypeError(f"no such request: {request!r}")
 
-    @_do.register
+    @_dispatch.register
     async def _(self, request: ListRequest):
         listing = await self._platform.list_objects(request.kind)
         if _failed(listing):
             return listing
         self._printer.objects(listing.unwrap().items, request.as_json)
-        return DONE
+        return EXIT_SUCCESS
 
-    @_do.register
+    @_dispatch.register
     async def _(self, request: ShowRequest):
         found = await self._platform.read_object(request.kind, request.name)
         if _failed(found):
             return found
         if found.unwrap().body is None:
-            return result.Failure(_removed(found.unwrap()))
+            return result.Failure(_removed_failure(found.unwrap()))
         self._printer.object(found.unwrap(), request.as_json)
-        return DONE
+        return EXIT_SUCCESS
 
-    @_do.register
+    @_dispatch.register
     async def _(self, request: ApplyRequest):
         plan = await self._plan_file(request.path, request.kind)
         if _failed(plan):
             return plan
-        return await self._change(plan.unwrap(), request.options)
+        return await self._apply_plan(plan.unwrap(), request.options)
 
-    @_do.register
+    @_dispatch.register
     async def _(self, request: DiffRequest):
         plan = await self._plan_file(request.path, None)
         if _failed(plan):
             return plan
         return self._print_plan(plan.unwrap(), request.as_json)
 
-    @_do.register
+    @_dispatch.register
     async def _(self, request: RemoveRequest):
         return await self._plan_and_change(
             plan_remove, (request.kind, request.name), request.options
         )
 
-    @_do.register
+    @_dispatch.register
     async def _(self, request: StateRequest):
         return await self._plan_and_change(
-            plan_state, (request.kind, request.name, request.state), request.options
+            plan_state_change,
+            (request.kind, request.name, request.state),
+            request.options,
         )
 
-    @_do.register
+    @_dispatch.register
     async def _(self, request: StatusRequest):
         listing = await self._platform.list_objects()
         entries = await self._entries()
         if _failed(entries):
             return listing if _failed(listing) else entries
-        dumps = await ask_all(entries.unwrap(), self._entry_client.dump)
+        dumps = await query_all(entries.unwrap(), self._entry_client.dump)
         site = report.build(listing, entries.unwrap(), dumps)
         self._printer.site(site, request.as_json)
         if _failed(listing):
             return result.Success(ExitStatus.UNAVAILABLE)
-        return DONE
+        return EXIT_SUCCESS
 
-    @_do.register
+    @_dispatch.register
     async def _(self, request: DumpRequest):
         entries = await self._entries()
         if _failed(entries):
@@ -141,14 +143,14 @@
         if _failed(dump):
             return dump
         self._printer.json(dump.unwrap())
-        return DONE
+        return EXIT_SUCCESS
 
-    @_do.register
+    @_dispatch.register
     async def _(self, request: WaitRequest):
         listing = await self._platform.list_objects()
         if _failed(listing):
             return listing
-        wanted = wishes(listing.unwrap().items)
+        wanted = required_versions(listing.unwrap().items)
         waited = await self._wait(wanted, request.seconds)
         if _failed(waited):
             return waited
@@ -170,7 +172,7 @@
         plan = listing.bind(lambda found: make_plan(found.items, *args))
         if _failed(plan):
             return plan
-        return await self._change(plan.unwrap(), options)
+        return await self._apply_plan(plan.unwrap(), options)
 
     def _read_file(self, path):
         try:
@@ -182,7 +184,7 @@
             failure = Failure(ErrorKind.BAD_INPUT, f"{path}: {exc}", remedy)
             return result.Failure(failure)
 
-    async def _change(self, plan: Plan, options: ChangeOptions):
+    async def _apply_plan(self, plan: Plan, options: ChangeOptions):
         if options.dry_run:
             return self._print_plan(plan, options.as_json)
         self._printer.notes(plan.notes)
@@ -191,7 +193,7 @@
         waited = None
         if failure is None and options.wait_s is not None:
             wanted = {
-                change.subject: Wish(outcome.version, change.after is None)
+                change.subject: RequiredVersion(outcome.version, change.after is None)
                 for change, outcome in zip(changes, done, strict=True)
             }
             answer = await self._wait(wanted, options.wait_s)
@@ -207,7 +209,7 @@
         changes = [one for one in plan.changes if one.action != "keep"]
         planned = [outcomes.planned(change) for change in changes]
         self._printer.changes(planned, None, as_json)
-        return DONE
+        return EXIT_SUCCESS
 
     async def _write_all(self, changes):
         """Write one after the other up to the first failure."""
@@ -272,7 +274,7 @@
     return result.Failure(Failure(ErrorKind.NOT_FOUND, text, f"known: {names}"))
 
 
-def _removed(obj):
+def _removed_failure(obj):
     text = f"{subject(obj.kind, obj.name)} does not exist; it was removed"
     text += f" as version {obj.version} by operation {obj.operation or 'unnamed'}"
     remedy = f"see the names with: {PROGRAM} {obj.kind} list"
--- a/kumquatshift/cli/explain.py
+++ b/kumquatshift/cli/explain.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 
 #: Lines about a target or an entry belong to a flow's story within this time.
-AROUND_S = 5.0
+CONTEXT_WINDOW_S = 5.0
 
 _OWN_FIELDS = ("time", "uptime_s", "entry", "event")
 
@@ -34,12 +34,12 @@
     fields: dict
 
     def __str__(self):
-        told = " ".join(f"{key}={value}" for key, value in self.fields.items())
-        return f"{self.time:.3f} {self.entry}: {self.event} {told}".rstrip()
+        details = " ".join(f"{key}={value}" for key, value in self.fields.items())
+        return f"{self.time:.3f} {self.entry}: {self.event} {details}".rstrip()
 
 
 @dataclass(frozen=True)
-class Story:
+class Explanation:
     """Lines in the order of their time, and what they come to."""
 
     lines: tuple[LogLine, ...]
@@ -60,47 +60,54 @@
             continue
 
 
-def explain_flow(lines: Iterable[LogLine], flow: str) -> Story:
+def explain_flow(lines: Iterable[LogLine], flow: str) -> Explanation:
     """Tell what became of a flow, given as in the log or as its caller's end."""
     lines = _by_time(lines)
-    own = [ln for ln in lines if _is_of_flow(ln, flow)]
-    if not own:
-        return Story((), f"no line names {flow}; it may have met no entry")
-    begin, end = own[0].time - AROUND_S, own[-1].time + AROUND_S
-    targets = {ln.fields[key] for ln in own for key in _TARGET_KEYS if key in ln.fields}
-    entries = {line.entry for line in own}
-    around = [
+    own_lines = [ln for ln in lines if _is_of_flow(ln, flow)]
+    if not own_lines:
+        return Explanation((), f"no line names {flow}; it may have met no entry")
+    begin, end = (
+        own_lines[0].time - CONTEXT_WINDOW_S,
+        own_lines[-1].time + CONTEXT_WINDOW_S,
+    )
+    targets = {
+        ln.fields[key] for ln in own_lines for key in _TARGET_KEYS if key in ln.fields
+    }
+    entries = {line.entry for line in own_lines}
+    context_lines = [
         line
         for line in lines
         if begin <= line.time <= end
-        and (line in own or _is_about(line, targets, entries))
+        and (line in own_lines or _is_context(line, targets, entries))
     ]
-    return Story(tuple(around), _cause(own, around, targets, entries))
+    return Explanation(
+        tuple(context_lines), _cause(own_lines, context_lines, targets, entries)
+    )
 
 
-def explain_target(lines: Iterable[LogLine], target: str) -> Story:
+def explain_target(lines: Iterable[LogLine], target: str) -> Explanation:
     """Tell what entries have seen of a target, without the flows placed there."""
-    own = _by_time(
+    own_lines = _by_time(
         line
         for line in lines
         if line.fields.get("target") == target and line.event != "flow opened"
     )
-    if not own:
-        return Story((), f"no line names {target}")
-    counts = Counter(line.event for line in own)
-    told = ", ".join(f"{count} {event}" for event, count in counts.items())
-    return Story(tuple(own), told)
+    if not own_lines:
+        return Explanation((), f"no line names {target}")
+    counts = Counter(line.event for line in own_lines)
+    details = ", ".join(f"{count} {event}" for event, count in counts.items())
+    return Explanation(tuple(own_lines), details)
 
 
-def explain_second(lines: Iterable[LogLine], second: int) -> Story:
+def explain_second(lines: Iterable[LogLine], second: int) -> Explanation:
     """Tell what all entries logged within a second, and how often each event."""
-    own = _by_time(line for line in lines if second <= line.time < second + 1)
-    counts = Counter(line.event for line in own)
-    told = ", ".join(f"{count} {event}" for event, count in counts.most_common())
-    return Story(tuple(own), told or f"no line is of second {second}")
+    own_lines = _by_time(line for line in lines if second <= line.time < second + 1)
+    counts = Counter(line.event for line in own_lines)
+    details = ", ".join(f"{count} {event}" for event, count in counts.most_common())
+    return Explanation(tuple(own_lines), details or f"no line is of second {second}")
 
 
-def explain_failures(lines: Iterable[LogLine]) -> Story:
+def explain_failures(lines: Iterable[LogLine]) -> Explanation:
     """Tell how many flows were refused, reset or lost packets, by cause.
 
     What was sent to an entry that had died, and what did not fit a log's budget,
@@ -110,11 +117,11 @@
     lines = _by_time(lines)
     failed = [line for line in lines if line.event in _FAILURES]
     counts = Counter((line.event, line.fields.get("reason", "")) for line in failed)
-    told = [
+    details = [
         f"{count} x {event} ({reason})" for (event, reason), count in counts.items()
     ]
-    told = told or ["no flow was refused or reset, and no packet dropped"]
-    return Story(tuple(failed), "; ".join(told + _untold(lines)))
+    details = details or ["no flow was refused or reset, and no packet dropped"]
+    return Explanation(tuple(failed), "; ".join(details + _unlogged_losses(lines)))
 
 
 _TARGET_KEYS = ("target", "silent")
@@ -140,61 +147,61 @@
     return sorted(lines, key=lambda line: line.time)
 
 
-def _untold(lines: list[LogLine]) -> list[str]:
+def _unlogged_losses(lines: list[LogLine]) -> list[str]:
     """Return what kept flows from leaving a line."""
-    told = []
-    deaths = _deaths(lines).total()
-    if deaths:
-        told.append(
-            f"{deaths} x entry ended without a stop, and what was sent to it until"
+    details = []
+    restarts = _unclean_restarts(lines).total()
+    if restarts:
+        details.append(
+            f"{restarts} x entry ended without a stop, and what was sent to it until"
             " it was back left no line"
         )
     left_out = [line for line in lines if line.event == "lines left out"]
     if left_out:
-        told.append(f"{len(left_out)} x lines were left out, as logs are bounded")
-    return told
+        details.append(f"{len(left_out)} x lines were left out, as logs are bounded")
+    return details
 
 
 def _is_of_flow(line: LogLine, flow: str) -> bool:
-    named = str(line.fields.get("flow", ""))
-    return named == flow or named.startswith(f"{flow}>")
+    line_flow = str(line.fields.get("flow", ""))
+    return line_flow == flow or line_flow.startswith(f"{flow}>")
 
 
-def _is_about(line: LogLine, targets: set[str], entries: set[str]) -> bool:
+def _is_context(line: LogLine, targets: set[str], entries: set[str]) -> bool:
     if line.event in _TARGET_EVENTS:
         return line.fields.get("target") in targets
     return line.event in _ENTRY_EVENTS and line.entry in entries
 
 
-def _cause(own, around, targets, entries) -> str:
-    last = own[-1]
+def _cause(own_lines, context_lines, targets, entries) -> str:
+    last = own_lines[-1]
     reason = last.fields.get("reason", "")
     if last.event in ("flow reset", "flow refused") and reason in _RESET_CAUSES:
         return f"{last.event}: {_RESET_CAUSES[reason]}"
     if last.event == "packet dropped":
         return f"its last packet was dropped by {last.entry}: {reason}"
-    later = [line for line in around if line.time >= last.time]
-    for line in later:
+    later_lines = [line for line in context_lines if line.time >= last.time]
+    for line in later_lines:
         if line.event in ("target suspected", "target gone"):
             return (
                 f"{line.event}: {line.fields.get('target')} after the flow was placed"
             )
-    deaths = _deaths(around)
+    restarts = _unclean_restarts(context_lines)
     for entry in sorted(entries):
-        if deaths[entry]:
+        if restarts[entry]:
             return f"{entry} ended without a stop: it was killed or lost its power"
     return "the lines do not tell what became of it after it was placed"
 
 
-def _deaths(lines: Iterable[LogLine]) -> Counter[str]:
+def _unclean_restarts(lines: Iterable[LogLine]) -> Counter[str]:
     """Count how often each entry started again without having stopped."""
-    deaths = Counter()
+    restarts = Counter()
     running = set()
     for line in lines:
         if line.event == "stopped":
             running.discard(line.entry)
             continue
         if line.event == "started" and line.entry in running:
-            deaths[line.entry] += 1
+            restarts[line.entry] += 1
         running.add(line.entry)
-    return deaths
+    return restarts
--- a/kumquatshift/cli/files.py
+++ b/kumquatshift/cli/files.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True)
-class Wanted:
+class DesiredObject:
     """One object of a file.
 
     ``given`` are the fields that the file names; ``version`` is what must
@@ -45,42 +45,46 @@
 
     kind: Kind
     body: Body
-    given: frozenset[str]
+    specified_fields: frozenset[str]
     version: int | None = None
 
 
 @dataclass(frozen=True)
-class _Raw:
+class _RawObject:
     kind: str
     name: object
     fields: object
 
 
-def read_objects(text: str, kind: Kind | None) -> Result[tuple[Wanted, ...], Failure]:
+def read_objects(
+    text: str, kind: Kind | None
+) -> Result[tuple[DesiredObject, ...], Failure]:
     """Return the objects of a file, or every mistake in it.
 
     With a ``kind`` the file may hold objects of that kind only.
     """
     try:
-        raws = _read_json(text) if text.lstrip()[:1] == "{" else _read_ini(text)
+        raw_objects = _read_json(text) if text.lstrip()[:1] == "{" else _read_ini(text)
     except (ValueError, configparser.Error) as exc:
-        told = " ".join(str(exc).split())
-        failure = Failure(ErrorKind.BAD_INPUT, told, "mend the file; nothing changed")
+        message = " ".join(str(exc).split())
+        failure = Failure(
+            ErrorKind.BAD_INPUT, message, "mend the file; nothing changed"
+        )
         return result.Failure(failure)
-    wanted, mistakes = [], []
-    for raw in raws:
-        wrong = _check_kind(raw, kind)
-        if not wrong:
-            one, wrong = _read_one(raw)
-            wanted.append(one)
-        mistakes += wrong
-    mistakes += _check_twice(raws)
-    if not raws:
+    desired, mistakes = [], []
+    for raw in raw_objects:
+        found_mistakes = _check_kind(raw, kind)
+        if not found_mistakes:
+            desired_item, found_mistakes = _read_object(raw)
+            desired.append(desired_item)
+        mistakes += found_mistakes
+    mistakes += _check_duplicates(raw_objects)
+    if not raw_objects:
         allowed = "allowed: sections such as [target t1]"
         mistakes.append(Mistake("file", "objects", "none", allowed))
     if mistakes:
         return result.Failure(bad_input(mistakes))
-    return Success(tuple(wanted))
+    return Success(tuple(desired))
 
 
 def to_ini(objects: Sequence[Versioned]) -> str:
@@ -90,14 +94,16 @@
 
 def _section(obj):
     lines = [f"[{obj.kind} {obj.name}]"]
-    lines += [f"{key} = {_text(val)}" for key, val in body_to_json(obj.body).items()]
+    lines += [
+        f"{key} = {_format_value(val)}" for key, val in body_to_json(obj.body).items()
+    ]
     lines.append(f"version = {obj.version}")
     if obj.operation:
         lines.append(f"# written by operation {obj.operation}")
     return "\n".join(lines) + "\n"
 
 
-def _text(value):
+def _format_value(value):
     whole = isinstance(value, float) and value.is_integer()
     return str(int(value) if whole else value)
 
@@ -107,13 +113,13 @@
         interpolation=None, default_section=NO_DEFAULT_SECTION
     )
     parser.read_string(text, source="file")
-    raws = []
+    raw_objects = []
     for title in parser.sections():
         words = title.split()
         kind, name = words if len(words) == 2 else (title, "")
         texts = dict(parser[title])
-        raws.append(_Raw(kind, name, texts))
-    return raws
+        raw_objects.append(_RawObject(kind, name, texts))
+    return raw_objects
 
 
 def _read_json(text):
@@ -121,46 +127,46 @@
     items = value.get("items")
     if not isinstance(items, list):
         raise ValueError('the JSON value must be {"items": [{"kind", "name", "body"}]}')
-    return [_raw_of(item) for item in items]
+    return [_raw_object(item) for item in items]
 
 
-def _raw_of(item):
+def _raw_object(item):
     if not isinstance(item, Mapping):
         raise ValueError(f"found {shown(item)}; allowed: an object with kind and name")
     fields = item.get("body")
     if isinstance(fields, Mapping) and "version" in item:
         fields = {**fields, "version": item["version"]}
-    return _Raw(str(item.get("kind")), item.get("name"), fields)
+    return _RawObject(str(item.get("kind")), item.get("name"), fields)
 
 
 def _check_kind(raw, kind):
-    about = subject(raw.kind, raw.name)
+    subject_name = subject(raw.kind, raw.name)
     if raw.kind not in list(Kind):
         hint = nearest(raw.kind, list(Kind))
         allowed = f"no such kind of object; {hint}; write [KIND NAME]"
-        return [Mistake(about, "kind", shown(raw.kind), allowed)]
+        return [Mistake(subject_name, "kind", shown(raw.kind), allowed)]
     if not raw.name:
         allowed = "allowed: a name after the kind; write [KIND NAME]"
-        return [Mistake(about, "name", "nothing", allowed)]
+        return [Mistake(subject_name, "name", "nothing", allowed)]
     if kind is not None and raw.kind != kind:
         allowed = f"allowed: {kind}; for all kinds use: kumquat-ctl apply FILE"
-        return [Mistake(about, "kind", shown(raw.kind), allowed)]
+        return [Mistake(subject_name, "kind", shown(raw.kind), allowed)]
     return []
 
 
-def _read_one(raw):
+def _read_object(raw):
     kind, fields = Kind(raw.kind), raw.fields
     if isinstance(fields, Mapping):
         texts = {k: v for k, v in fields.items() if isinstance(v, str)}
         fields = {**fields, **fields_from_text(kind, texts)}
-    version, wrong = None, []
+    version, found_mistakes = None, []
     if isinstance(fields, Mapping) and "version" in fields:
-        version, wrong = _read_version(raw, fields.pop("version"))
+        version, found_mistakes = _read_version(raw, fields.pop("version"))
     decoded = decode_body(kind, raw.name, fields)
-    mistakes = [*wrong, *decoded.mistakes]
+    mistakes = [*found_mistakes, *decoded.mistakes]
     if mistakes:
         return None, mistakes
-    return Wanted(kind, decoded.body, frozenset(fields), version), []
+    return DesiredObject(kind, decoded.body, frozenset(fields), version), []
 
 
 def _read_version(raw, value):
@@ -169,17 +175,19 @@
     try:
         return REQUIRED_VERSION.read(value), []
     except Invalid:
-        about = subject(raw.kind, raw.name)
+        subject_name = subject(raw.kind, raw.name)
         allowed = REQUIRED_VERSION.allowed
-        return None, [Mistake(about, "version", shown(value), allowed)]
+        return None, [Mistake(subject_name, "version", shown(value), allowed)]
 
 
-def _check_twice(raws):
+def _check_duplicates(raw_objects):
     seen, mistakes = set(), []
-    for raw in raws:
+    for raw in raw_objects:
         key = (raw.kind, str(raw.name))
         if key in seen:
-            about = subject(raw.kind, raw.name)
-            mistakes.append(Mistake(about, "name", "it twice", "allowed: once a file"))
+            subject_name = subject(raw.kind, raw.name)
+            mistakes.append(
+                Mistake(subject_name, "name", "it twice", "allowed: once a file")
+            )
         seen.add(key)
     return mistakes
--- a/kumquatshift/cli/outcomes.py
+++ b/kumquatshift/cli/outcomes.py
@@ -6,10 +6,10 @@
 
 from ..errors import ErrorKind, Failure
 from .changes import Change
-from .writer import Written
+from .writer import WriteResult
 
 
-class Fate(StrEnum):
+class ChangeResult(StrEnum):
     """What became of one change, in the word that the operator reads."""
 
     CREATED = "created"
@@ -21,14 +21,19 @@
     NOT_WRITTEN = "not written"
 
 
-DONE = {
-    "create": Fate.CREATED,
-    "change": Fate.CHANGED,
-    "confirm": Fate.CONFIRMED,
-    "remove": Fate.REMOVED,
-    "keep": Fate.KEPT,
+RESULT_BY_ACTION = {
+    "create": ChangeResult.CREATED,
+    "change": ChangeResult.CHANGED,
+    "confirm": ChangeResult.CONFIRMED,
+    "remove": ChangeResult.REMOVED,
+    "keep": ChangeResult.KEPT,
 }
-WRITTEN = (Fate.CREATED, Fate.CHANGED, Fate.CONFIRMED, Fate.REMOVED)
+WRITTEN = (
+    ChangeResult.CREATED,
+    ChangeResult.CHANGED,
+    ChangeResult.CONFIRMED,
+    ChangeResult.REMOVED,
+)
 
 
 @dataclass(frozen=True)
@@ -39,7 +44,7 @@
     """
 
     subject: str
-    fate: Fate
+    fate: ChangeResult
     version: int | None = None
     operation: str = ""
     differences: tuple[str, ...] = ()
@@ -59,12 +64,14 @@
 def planned(change: Change) -> Outcome:
     """Return what a change would do."""
     fields = _fields(change)
-    return Outcome(change.subject, DONE[change.action], None, "", fields, planned=True)
+    return Outcome(
+        change.subject, RESULT_BY_ACTION[change.action], None, "", fields, planned=True
+    )
 
 
-def written(change: Change, done: Written) -> Outcome:
+def written(change: Change, done: WriteResult) -> Outcome:
     """Return the outcome of a write that took effect."""
-    fate, fields = DONE[change.action], _fields(change)
+    fate, fields = RESULT_BY_ACTION[change.action], _fields(change)
     return Outcome(
         change.subject, fate, done.version, done.operation, fields, done.answer_lost
     )
@@ -72,31 +79,33 @@
 
 def kept(change: Change) -> Outcome:
     """Return the outcome of a change that needed no write."""
-    return Outcome(change.subject, Fate.KEPT, change.version)
+    return Outcome(change.subject, ChangeResult.KEPT, change.version)
 
 
 def not_written(change: Change, failure: Failure | None = None) -> Outcome:
     """Return the outcome of a write that failed, or was not tried."""
     unknown = failure is not None and failure.kind is ErrorKind.OUTCOME_UNKNOWN
-    fate = Fate.PERHAPS_WRITTEN if unknown else Fate.NOT_WRITTEN
+    fate = ChangeResult.PERHAPS_WRITTEN if unknown else ChangeResult.NOT_WRITTEN
     return Outcome(change.subject, fate, differences=_fields(change))
 
 
 def partial(failure: Failure, outcomes: Sequence[Outcome]) -> Failure:
     """Add to a failure midway which changes were written and which were not."""
-    told = [f"written: {_names(outcomes, WRITTEN)}"]
-    if any(outcome.fate is Fate.PERHAPS_WRITTEN for outcome in outcomes):
-        told.append(f"perhaps written: {_names(outcomes, (Fate.PERHAPS_WRITTEN,))}")
-    told.append(f"not written: {_names(outcomes, (Fate.NOT_WRITTEN,))}")
-    text = f"{failure.message}\n" + "; ".join(told)
+    details = [f"written: {_names(outcomes, WRITTEN)}"]
+    if any(outcome.fate is ChangeResult.PERHAPS_WRITTEN for outcome in outcomes):
+        details.append(
+            f"perhaps written: {_names(outcomes, (ChangeResult.PERHAPS_WRITTEN,))}"
+        )
+    details.append(f"not written: {_names(outcomes, (ChangeResult.NOT_WRITTEN,))}")
+    text = f"{failure.message}\n" + "; ".join(details)
     remedy = "run it again once mended: what stands already is kept"
     if failure.remedy:
         remedy = f"{failure.remedy}; {remedy}"
     return Failure(failure.kind, text, remedy)
 
 
-def _names(outcomes, fates):
-    found = [outcome.subject for outcome in outcomes if outcome.fate in fates]
+def _names(outcomes, results):
+    found = [outcome.subject for outcome in outcomes if outcome.fate in results]
     return ", ".join(found) or "none"
 
 
--- a/kumquatshift/cli/parsing.py
+++ b/kumquatshift/cli/parsing.py
@@ -19,8 +19,8 @@
 from .definition import Commands, UsageError
 from .requests import Request
 
-LOCAL = f"[platform]\nurl = {DEFAULT_URL}\n"
-WORDS = {
+LOCAL_SETTINGS = f"[platform]\nurl = {DEFAULT_URL}\n"
+COMMAND_WORDS = {
     *("profile", "service", "target", "domain"),
     *("list", "show", "apply", "remove", "admit", "retire", "out", "in", "into"),
     *("diff", "status", "dump", "wait", "check", "explain"),
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True)
-class Line:
+class CommandLine:
     """A command line split into fire's part and the flags of every command."""
 
     words: tuple[str, ...]
@@ -39,7 +39,7 @@
     """Return the request of a command line; None after help was shown."""
     try:
         words = split(args).words
-        return Success(_ask_fire(words, env))
+        return Success(_run_fire(words, env))
     except UsageError as exc:
         remedy = f"see: {PROGRAM} --help"
         return result.Failure(Failure(ErrorKind.BAD_INPUT, str(exc), remedy))
@@ -47,22 +47,22 @@
         return None
 
 
-def split(args: Sequence[str]) -> Line:
+def split(args: Sequence[str]) -> CommandLine:
     """Take out the flags of every command, and make the rest plain to fire.
 
     Fire reads words as Python values and takes the word after a switch for its
     value; here each word is quoted and each switch closed.
     """
-    words, flags, rest = [], {}, list(args)
-    while rest:
-        word = rest.pop(0)
+    words, flags, remaining = [], {}, list(args)
+    while remaining:
+        word = remaining.pop(0)
         flag, equals, value = word.partition("=")
         if word == "--":
             raise UsageError("--: no arguments of that kind")
         if flag in GLOBAL_FLAGS:
-            if not equals and not rest:
+            if not equals and not remaining:
                 raise UsageError(f"{flag}: nothing after it")
-            flags[flag] = value if equals else rest.pop(0)
+            flags[flag] = value if equals else remaining.pop(0)
         elif word in SWITCHES:
             words.append(f"{word}='True'")
         elif word == "-":
@@ -70,8 +70,8 @@
         elif word.startswith("-"):
             words.append(f"{flag}={value!r}" if equals else word)
         else:
-            words.append(word if word in WORDS else repr(word))
-    return Line(tuple(words), flags)
+            words.append(word if word in COMMAND_WORDS else repr(word))
+    return CommandLine(tuple(words), flags)
 
 
 def load_settings(
@@ -85,7 +85,7 @@
     """
     flags = split(args).flags
     path = flags.get("--settings") or env.variables.get(SETTINGS_VARIABLE)
-    loaded = CtlSettings.load(path) if path else CtlSettings.from_text(LOCAL)
+    loaded = CtlSettings.load(path) if path else CtlSettings.from_text(LOCAL_SETTINGS)
     if not is_successful(loaded):
         lines = [f"{path}: {problem}" for problem in loaded.failure()]
         return result.Failure(_bad_settings("\n".join(lines), f"mend {path}"))
@@ -97,8 +97,8 @@
         try:
             section = replace(cfg.platform, url=Url().parse(url))
         except ValueError:
-            told = f"--platform: found {url!r}; allowed: {Url.allowed}"
-            return result.Failure(_bad_settings(told, "mend --platform"))
+            message = f"--platform: found {url!r}; allowed: {Url.allowed}"
+            return result.Failure(_bad_settings(message, "mend --platform"))
         cfg = replace(cfg, platform=section)
     if not cfg.platform.url:
         remedy = "give --platform URL, or set url in the section [platform]"
@@ -106,19 +106,19 @@
     return Success(cfg)
 
 
-def _bad_settings(told, remedy):
-    return Failure(ErrorKind.BAD_SETTINGS, told, remedy)
+def _bad_settings(message, remedy):
+    return Failure(ErrorKind.BAD_SETTINGS, message, remedy)
 
 
 class _HelpShown(Exception):  # noqa: N818
     """Fire has shown help; there is nothing to do."""
 
 
-def _ask_fire(words, env):
+def _run_fire(words, env):
     out = io.StringIO()
     try:
         with contextlib.redirect_stdout(out), contextlib.redirect_stderr(out):
-            asked = fire.Fire(
+            request = fire.Fire(
                 Commands(), list(words), name=PROGRAM, serialize=lambda _: ""
             )
     except fire.core.FireExit as exc:
@@ -126,10 +126,10 @@
             env.stdout.write(_without_info(out.getvalue()))
             raise _HelpShown from exc
         raise UsageError(_first_error(out.getvalue())) from exc
-    if not isinstance(asked, Request):
-        told = " ".join(words) or PROGRAM
-        raise UsageError(f"{told}: a command is missing")
-    return asked
+    if not isinstance(request, Request):
+        message = " ".join(words) or PROGRAM
+        raise UsageError(f"{message}: a command is missing")
+    return request
 
 
 def _without_info(text):
--- a/kumquatshift/cli/report.py
+++ b/kumquatshift/cli/report.py
@@ -13,7 +13,7 @@
 from ..errors import Failure
 from ..platform_port import Listing
 from .entries import Entry
-from .waiting import judge, wishes
+from .waiting import compare_versions, required_versions
 
 NO_ANSWER = "no answer"
 
@@ -79,14 +79,14 @@
     answers: Mapping[str, Result[Mapping, Failure]],
 ) -> SiteReport:
     """Return the report on what the platform holds and what entries dumped."""
-    version, objects, missing = _standing(listing)
+    version, objects, missing = _read_listing(listing)
     failures = [one.failure() for one in answers.values() if not is_successful(one)]
     dumps = {name: answer.value_or(None) for name, answer in answers.items()}
     versions = {
         name: None if dump is None else dump.get("versions", {})
         for name, dump in dumps.items()
     }
-    waiting = judge(wishes(objects), versions)
+    waiting = compare_versions(required_versions(objects), versions)
     behind = Counter(late.entry for late in waiting.behind)
     rows = [_entry_row(one, dumps[one.name], behind[one.name]) for one in entries]
     targets = _target_rows(objects, dumps.values())
@@ -119,7 +119,7 @@
 def object_table(objects: Sequence[Versioned]) -> str:
     """Return objects of one kind as a table."""
     rows = [
-        {"name": obj.name, **_plain(obj.body), "version": obj.version}
+        {"name": obj.name, **_columns(obj.body), "version": obj.version}
         for obj in sorted(objects, key=lambda obj: obj.name)
     ]
     return tabulate(rows, headers="keys") + "\n" if rows else "none\n"
@@ -128,12 +128,12 @@
 def _table(title, rows):
     if not rows:
         return f"{title}: none"
-    values = [_plain(row) for row in rows]
+    values = [_columns(row) for row in rows]
     text = tabulate(values, headers="keys", missingval="-", floatfmt=".3f")
     return text
 
 
-def _plain(row):
+def _columns(row):
     return {key: val for key, val in vars(row).items() if key != "name"}
 
 
@@ -194,7 +194,7 @@
     )
 
 
-def _standing(listing):
+def _read_listing(listing):
     """Return version, objects, and what could not be read."""
     if not is_successful(listing):
         return None, (), [str(listing.failure())]
--- a/kumquatshift/cli/waiting.py
+++ b/kumquatshift/cli/waiting.py
@@ -9,28 +9,28 @@
 from ..codec import subject
 from ..engine.objects import Versioned
 from ..status import ExitStatus
-from .entries import Entry, ask_all
+from .entries import Entry, query_all
 
 POLL_S = 0.25
-TRIES_OUT_OF_REACH = 3
+MAX_CONSECUTIVE_MISSES = 3
 
 
 @dataclass(frozen=True)
-class Wish:
+class RequiredVersion:
     """A version that must be in force; ``gone`` for that of a deletion."""
 
     version: int
-    gone: bool = False
+    deleted: bool = False
 
-    def met_by(self, found: int | None) -> bool:
+    def satisfied_by(self, found: int | None) -> bool:
         """Whether an entry that reports ``found`` has it in force."""
         if found is None:
-            return self.gone
+            return self.deleted
         return found >= self.version
 
 
 @dataclass(frozen=True)
-class Behind:
+class StaleVersion:
     """An entry in reach that still holds an older version."""
 
     entry: str
@@ -48,7 +48,7 @@
     """Where the versions are in force, where not, and who could not be asked."""
 
     in_force: tuple[str, ...] = ()
-    behind: tuple[Behind, ...] = ()
+    behind: tuple[StaleVersion, ...] = ()
     out_of_reach: tuple[str, ...] = ()
 
     @property
@@ -59,16 +59,17 @@
         return ExitStatus.SUCCESS if self.in_force else ExitStatus.UNAVAILABLE
 
 
-def wishes(objects: Sequence[Versioned]) -> dict[str, Wish]:
+def required_versions(objects: Sequence[Versioned]) -> dict[str, RequiredVersion]:
     """Return what must be in force for these objects to be."""
     return {
-        subject(obj.kind, obj.name): Wish(obj.version, obj.body is None)
+        subject(obj.kind, obj.name): RequiredVersion(obj.version, obj.body is None)
         for obj in objects
     }
 
 
-def judge(
-    wanted: Mapping[str, Wish], answers: Mapping[str, Mapping[str, int] | None]
+def compare_versions(
+    wanted: Mapping[str, RequiredVersion],
+    answers: Mapping[str, Mapping[str, int] | None],
 ) -> WaitReport:
     """Return the report for one answer, or None, of each entry."""
     in_force, behind, out = [], [], []
@@ -77,9 +78,9 @@
             out.append(entry)
             continue
         late = [
-            Behind(entry, about, found.get(about), wish.version)
-            for about, wish in wanted.items()
-            if not wish.met_by(found.get(about))
+            StaleVersion(entry, subject_name, found.get(subject_name), required.version)
+            for subject_name, required in wanted.items()
+            if not required.satisfied_by(found.get(subject_name))
         ]
         behind += late
         if not late:
@@ -89,7 +90,7 @@
 
 async def wait_in_force(
     entries: Sequence[Entry],
-    wanted: Mapping[str, Wish],
+    wanted: Mapping[str, RequiredVersion],
     fetch: Callable[[Entry], object],
     clock,
     timeout_s: float,
@@ -103,16 +104,18 @@
     deadline = clock.seconds() + timeout_s
     misses = dict.fromkeys([entry.name for entry in entries], 0)
     while True:
-        answers = await ask_all(entries, fetch)
+        answers = await query_all(entries, fetch)
         found = {
             name: answer.unwrap() if is_successful(answer) else None
             for name, answer in answers.items()
         }
         for name, versions in found.items():
             misses[name] = misses[name] + 1 if versions is None else 0
-        report = judge(wanted, found)
-        settled = all(n == 0 or n >= TRIES_OUT_OF_REACH for n in misses.values())
-        if settled and not report.behind:
+        report = compare_versions(wanted, found)
+        misses_resolved = all(
+            n == 0 or n >= MAX_CONSECUTIVE_MISSES for n in misses.values()
+        )
+        if misses_resolved and not report.behind:
             return report
         if interrupted() or clock.seconds() + POLL_S > deadline:
             return report
--- a/kumquatshift/cli/writer.py
+++ b/kumquatshift/cli/writer.py
@@ -21,23 +21,23 @@
 READ_BACK_TRIES = 4
 READ_BACK_WAIT_S = 0.5
 HISTORY_TIMEOUT_S = 6.0
-UNTOLD = "whether your own write took effect first is unknown"
-NOT_YET = (
+OWN_WRITE_UNKNOWN = "whether your own write took effect first is unknown"
+OWN_WRITE_PENDING = (
     "your own write has not taken effect, but if it is still on its way, and the"
     " object is removed, it may"
 )
-UNSURE = (ErrorKind.OUTCOME_UNKNOWN, ErrorKind.TIMEOUT)
+UNKNOWN_OUTCOME_KINDS = (ErrorKind.OUTCOME_UNKNOWN, ErrorKind.TIMEOUT)
 
 
 def new_operation(variables: Mapping[str, str]) -> str:
     """Return a fresh operation id that begins with the operator's name."""
     names = [variables[key] for key in OPERATOR_VARIABLES if variables.get(key)]
-    who = re.sub(r"[^A-Za-z0-9._-]", "", names[0])[:32] if names else ""
-    return f"{who or 'operator'}-{uuid.uuid4().hex[:12]}"
+    operator = re.sub(r"[^A-Za-z0-9._-]", "", names[0])[:32] if names else ""
+    return f"{operator or 'operator'}-{uuid.uuid4().hex[:12]}"
 
 
 @dataclass(frozen=True)
-class Written:
+class WriteResult:
     """A write that took effect; ``answer_lost`` if only reading back told so."""
 
     version: int
@@ -57,30 +57,30 @@
         self._clock = clock
         self._make_operation = make_operation
 
-    async def write(self, change: Change) -> Result[Written, Failure]:
+    async def write(self, change: Change) -> Result[WriteResult, Failure]:
         """Write one change, or say why not; never an overwrite of another's."""
         operation = self._make_operation()
         answer = await self._send(change, operation)
         if is_successful(answer):
-            return Success(Written(answer.unwrap().version, operation))
+            return Success(WriteResult(answer.unwrap().version, operation))
         failure = answer.failure()
-        if failure.kind in UNSURE:
-            return await self._settle(change, operation)
+        if failure.kind in UNKNOWN_OUTCOME_KINDS:
+            return await self._resolve_outcome(change, operation)
         if isinstance(failure, Conflict):
             failure = conflict(change, failure.standing)
         return result.Failure(failure)
 
-    async def _settle(self, change, operation):
+    async def _resolve_outcome(self, change, operation):
         """Find out what became of a write whose answer was lost."""
         for _ in range(READ_BACK_TRIES):
             await deferLater(self._clock, READ_BACK_WAIT_S)
             answer = await self._read_back(change, operation)
             if is_successful(answer):
-                return Success(Written(answer.unwrap().version, operation, True))
+                return Success(WriteResult(answer.unwrap().version, operation, True))
             failure = answer.failure()
             if isinstance(failure, Conflict):
-                return await self._judge(change, operation, failure.standing)
-        return result.Failure(_unknown(change, operation))
+                return await self._resolve_conflict(change, operation, failure.standing)
+        return result.Failure(_outcome_unknown(change, operation))
 
     def _send(self, change, operation):
         if change.after is None:
@@ -98,59 +98,61 @@
             return found
         return await self._send(change, operation)
 
-    async def _judge(self, change, operation, standing):
+    async def _resolve_conflict(self, change, operation, standing):
         """Tell a conflict with another's write from one with our own."""
         if standing is not None and standing.operation == operation:
-            return Success(Written(standing.version, operation, True))
-        upto = standing.version if standing else 0
+            return Success(WriteResult(standing.version, operation, True))
+        up_to_version = standing.version if standing else 0
         for _ in range(READ_BACK_TRIES):
-            ours = await self._find_in_history(change, operation, upto)
-            if ours is not UNTOLD:
+            own_write = await self._find_in_history(change, operation, up_to_version)
+            if own_write is not OWN_WRITE_UNKNOWN:
                 break
-        return result.Failure(conflict(change, standing, ours))
+        return result.Failure(conflict(change, standing, own_write))
 
-    async def _find_in_history(self, change, operation, upto):
+    async def _find_in_history(self, change, operation, up_to_version):
         """Say whether our write is among the changes since what we read."""
         done = Deferred()
 
         def on_event(event):
             if isinstance(event, Versioned) and event.operation == operation:
-                _fire(done, f"your write took effect before it, as {event.version}")
-            elif event.version >= upto:
-                _fire(done, _not_found(change))
+                _callback_once(
+                    done, f"your write took effect before it, as {event.version}"
+                )
+            elif event.version >= up_to_version:
+                _callback_once(done, _own_write_missing(change))
 
         def on_end(_):
-            _fire(done, UNTOLD)
+            _callback_once(done, OWN_WRITE_UNKNOWN)
 
         watch = self._platform.watch_objects(change.version, on_event, on_end)
         done.addTimeout(HISTORY_TIMEOUT_S, self._clock)
         try:
             return await done
         except defer.TimeoutError:
-            return UNTOLD
+            return OWN_WRITE_UNKNOWN
         finally:
             watch.stop()
 
 
 def conflict(
-    change: Change, standing: Versioned | None, ours: str = "nothing was written"
+    change: Change, standing: Versioned | None, own_write: str = "nothing was written"
 ) -> Conflict:
     """Return a conflict that names the other's change, field by field."""
-    text = f"{change.subject}: {_told(change, standing)}; {ours}"
+    text = f"{change.subject}: {_describe_change(change, standing)}; {own_write}"
     remedy = f"look at it with: kumquat-ctl {change.kind} show {change.name}"
     return Conflict(ErrorKind.CONFLICT, text, remedy, standing)
 
 
-def _not_found(change):
+def _own_write_missing(change):
     """Say that our write is not among the changes made so far.
 
     A change under a version that is past can no longer take effect. A creation
     asks only that nothing stands, which comes true again with a removal.
     """
-    return "your write did not take effect" if change.version else NOT_YET
+    return "your write did not take effect" if change.version else OWN_WRITE_PENDING
 
 
-def _told(change, standing):
+def _describe_change(change, standing):
     if standing is None or standing.body is None:
         by = f" by operation {standing.operation}" if standing else ""
         return f"it was removed by another{by}, after you read version {change.version}"
@@ -163,7 +165,7 @@
     )
 
 
-def _unknown(change, operation):
+def _outcome_unknown(change, operation):
     text = (
         f"{change.subject}: whether the write took effect is unknown;"
         f" the platform did not answer. Its operation id is {operation}"
@@ -172,6 +174,6 @@
     return Failure(ErrorKind.OUTCOME_UNKNOWN, text, remedy)
 
 
-def _fire(fut, value):
+def _callback_once(fut, value):
     if not fut.called:
         fut.callback(value)
--- a/kumquatshift/programs/bench.py
+++ b/kumquatshift/programs/bench.py
@@ -13,7 +13,7 @@
 from ..bench.run import Bench
 from ..context import Environment
 from ..settings import BenchSettings
-from ..settings.check import check as check_settings, tell_problems
+from ..settings.check import check as check_settings, print_problems
 from ..status import ExitStatus
 from .loop import install_reactor
 
@@ -36,7 +36,7 @@
             return check_settings(BenchSettings, settings, self._env)
         loaded = BenchSettings.load(settings)
         if not is_successful(loaded):
-            return tell_problems(settings, loaded, self._env)
+            return print_problems(settings, loaded, self._env)
         cfg = loaded.unwrap()
         logs.setup(cfg.log.level, cfg.log.format, self._env.stderr)
         report = run_bench(cfg, install_reactor())
@@ -44,9 +44,9 @@
             return ExitStatus.INTERRUPTED
         if json is not None:
             write_json(Path(json), report)
-        return self._tell(report)
+        return self._print_report(report)
 
-    def _tell(self, report):
+    def _print_report(self, report):
         broken = report.broken_rules()
         lines = [report.table(), *(f"BROKEN: {rule}" for rule in broken)]
         lines += [f"unexplained: {item}" for item in report.unexplained]
--- a/kumquatshift/programs/ctl.py
+++ b/kumquatshift/programs/ctl.py
@@ -84,16 +84,16 @@
         env.stderr.write(f"{PROGRAM}: {request.path}: {exc.strerror}\n")
         return ExitStatus.NOT_FOUND
     if request.flow:
-        story = explain_flow(lines, request.flow)
+        explanation = explain_flow(lines, request.flow)
     elif request.target:
-        story = explain_target(lines, request.target)
+        explanation = explain_target(lines, request.target)
     elif request.second is not None:
-        story = explain_second(lines, request.second)
+        explanation = explain_second(lines, request.second)
     else:
-        story = explain_failures(lines)
-    for line in story.lines:
+        explanation = explain_failures(lines)
+    for line in explanation.lines:
         env.stdout.write(f"{line}\n")
-    env.stdout.write(f"cause: {story.cause}\n")
+    env.stdout.write(f"cause: {explanation.cause}\n")
     return ExitStatus.SUCCESS
 
 
--- a/kumquatshift/programs/entry.py
+++ b/kumquatshift/programs/entry.py
@@ -20,11 +20,11 @@
 from ..engine.node import Limits
 from ..keys import Sealer
 from ..settings import EntrySettings
-from ..settings.check import check as check_settings, tell_problems
+from ..settings.check import check as check_settings, print_problems
 from ..status import ExitStatus
 from .loop import install_reactor
 
-COPY_SHARE = 0.6
+COPY_BUDGET_SHARE = 0.6
 
 log = logs.logger_for(logs.Part.ENTRY)
 
@@ -44,7 +44,7 @@
             return check_settings(EntrySettings, settings, self._env)
         loaded = EntrySettings.load(settings)
         if not is_successful(loaded):
-            return tell_problems(settings, loaded, self._env)
+            return print_problems(settings, loaded, self._env)
         cfg = loaded.unwrap()
         secrets = (cfg.keys.current, cfg.keys.previous)
         logs.setup(cfg.log.level, cfg.log.format, self._env.stderr, secrets)
@@ -89,8 +89,10 @@
     The admin port comes last; once it answers, all others are open.
     """
     entry = cfg.entry
-    place = f"{entry.address}:{entry.control_port}"
-    server = await serve(driver.servicer(), place, tls.server_credentials(cfg.tls))
+    control_endpoint = f"{entry.address}:{entry.control_port}"
+    server = await serve(
+        driver.servicer(), control_endpoint, tls.server_credentials(cfg.tls)
+    )
     driver.start()
     context = tls.admin_context(cfg.tls)
     listen_admin(reactor, entry.address, entry.admin_port, driver, context)
@@ -99,14 +101,14 @@
 
 def engine_config(cfg: EntrySettings) -> EntryConfig:
     """Return what the engine needs of an entry's settings."""
-    me = Vm(cfg.entry.name, cfg.entry.domain, cfg.entry.address)
+    own_vm = Vm(cfg.entry.name, cfg.entry.domain, cfg.entry.address)
     peers = [Vm(peer.name, peer.domain, peer.address) for peer in cfg.peers.members]
     timers = MemberTimers(
         cfg.timers.heartbeat_s, cfg.timers.suspect_s, cfg.timers.forget_s
     )
-    copy_bytes_per_s = cfg.limits.control_bytes_per_s * COPY_SHARE
+    copy_bytes_per_s = cfg.limits.control_bytes_per_s * COPY_BUDGET_SHARE
     limits = Limits(copy_bytes_per_s, cfg.limits.max_flows)
-    return EntryConfig(me, tuple(peers), timers, limits)
+    return EntryConfig(own_vm, tuple(peers), timers, limits)
 
 
 def _platform(cfg, reactor):
--- a/kumquatshift/programs/standin.py
+++ b/kumquatshift/programs/standin.py
@@ -14,7 +14,7 @@
     PlatformStandinSettings,
     TargetStandinSettings,
 )
-from ..settings.check import check as check_settings, tell_problems
+from ..settings.check import check as check_settings, print_problems
 from ..standins import fabric, platform, target
 from ..status import ExitStatus
 from .loop import install_reactor
@@ -49,7 +49,7 @@
             return check_settings(program, path, self._env)
         loaded = program.load(path)
         if not is_successful(loaded):
-            return tell_problems(path, loaded, self._env)
+            return print_problems(path, loaded, self._env)
         cfg = loaded.unwrap()
         logs.setup(cfg.log.level, cfg.log.format, self._env.stderr)
         reactor = install_reactor()
--- a/kumquatshift/settings/__init__.py
+++ b/kumquatshift/settings/__init__.py
@@ -1,6 +1,7 @@
-"""INI settings of every program, checked as a whole at start.
+"""INI settings of every program, fully validated at start-up.
 
-Each program has one frozen data class, and each section of its file another::
+The settings of a program are one frozen data class with a field for each section
+of its file; each section is a frozen data class too::
 
     match EntrySettings.load("entry.ini"):
         case Success(cfg):
--- a/kumquatshift/settings/bench.py
+++ b/kumquatshift/settings/bench.py
@@ -4,7 +4,7 @@
 from datetime import datetime
 
 from .common import LogSection, PlatformSection
-from .declare import free_keys, key, section
+from .declare import key, section, user_defined_keys
 from .problems import Problem
 from .read import ProgramSettings
 from .values import Listener, ListenerLine, Number, Whole
@@ -14,56 +14,63 @@
 
 @dataclass(frozen=True)
 class BenchSection:
-    """How much load is made on each service, and for how long."""
+    """Load generated on each service, and its duration."""
 
     duration_s: float = key(
-        Number(1, 3600), "Length of the run.", default="25", unit="seconds"
+        Number(1, 3600), "Duration of the run.", default="25", unit="seconds"
+    )
+    seed: int = key(
+        Whole(0, MAX_SEED),
+        "Seed of the random number generators of the load.",
+        default="1",
     )
-    seed: int = key(Whole(0, MAX_SEED), "Seed of the load's chance.", default="1")
     callers: int = key(
         Whole(0, 1000),
-        "Callers that send one request after another.",
+        "Number of callers; each sends one request at a time.",
         default="20",
     )
-    watches: int = key(Whole(0, 10_000), "Watches that stay open.", default="10")
+    watches: int = key(Whole(0, 10_000), "Number of watches kept open.", default="10")
     interval_s: float = key(
         Number(0.01, 60),
-        "Time between the requests of one caller.",
+        "Interval between the requests of one caller.",
         default="0.25",
         unit="seconds",
     )
     post_share: float = key(
-        Number(0, 1), "Share of requests that are not idempotent.", default="0.5"
+        Number(0, 1), "Fraction of requests that are not idempotent.", default="0.5"
     )
     big_share: float = key(
         Number(0, 1),
-        "Share of requests whose answer comes block by block.",
+        "Fraction of requests with a block-wise response.",
         default="0.05",
     )
     big_bytes: int = key(
-        Whole(1, 1_048_576), "Size of such an answer.", default="4096", unit="bytes"
+        Whole(1, 1_048_576),
+        "Size of a block-wise response.",
+        default="4096",
+        unit="bytes",
     )
     work_ms: int = key(
         Whole(0, 60_000),
-        "Time for which a request keeps a target busy.",
+        "Processing time of a request at its target.",
         default="5",
         unit="milliseconds",
     )
     request_timeout_s: float = key(
         Number(0.1, 300),
-        "Time after which a request without an answer counts as lost.",
+        "Time without a response after which a request counts as lost.",
         default="20",
         unit="seconds",
     )
     silence_s: float = key(
         Number(0.1, 300),
-        "Time without a word after which a watch counts as broken.",
+        "Time without a notification after which a watch counts as broken.",
         default="9",
         unit="seconds",
     )
     out_grace_s: float = key(
         Number(0, 60),
-        "Time for which a domain that was taken out may still get packets.",
+        "Time for which a domain that was taken out may still receive packets.",
         default="3",
         unit="seconds",
     )
@@ -71,11 +78,11 @@
 
 @dataclass(frozen=True)
 class BenchServicesSection:
-    """Services that load is sent to."""
+    """Services under load."""
 
-    members: tuple[Listener, ...] = free_keys(
+    members: tuple[Listener, ...] = user_defined_keys(
         ListenerLine(),
-        "One line for each service.",
+        "One line per service.",
         "NAME = ADDRESS PORT udp|tcp",
         ("tills", "127.0.9.1 5683 udp"),
         ("reports", "127.0.9.2 80 tcp"),
@@ -84,15 +91,15 @@
 
 @dataclass(frozen=True)
 class BenchSettings(ProgramSettings):
-    """All settings of the load tool."""
+    """All settings of the load generator."""
 
-    bench: BenchSection = section(BenchSection, "The load.")
+    bench: BenchSection = section(BenchSection, "Load to generate.")
     services: BenchServicesSection = section(
-        BenchServicesSection, "Services that load is sent to."
+        BenchServicesSection, "Services under load."
     )
     platform: PlatformSection = section(PlatformSection, "The platform's object API.")
     log: LogSection = section(LogSection, "Logging.")
 
-    def wrong_files(self, now: datetime) -> list[Problem]:
-        """Return what is wrong with the files that the settings name."""
-        return self.platform.wrong_files(now)
+    def check_files(self, now: datetime) -> list[Problem]:
+        """Return the problems of the files that the settings refer to."""
+        return self.platform.check_files(now)
--- a/kumquatshift/settings/check.py
+++ b/kumquatshift/settings/check.py
@@ -1,4 +1,4 @@
-"""The check of a settings file that every program offers."""
+"""Validation of a settings file, offered by every program."""
 
 from typing import Any
 
@@ -11,22 +11,22 @@
 
 
 def check(program: type[ProgramSettings], path: str, env: Environment) -> ExitStatus:
-    """Check the file at ``path`` and tell every mistake; starts nothing."""
+    """Validate the file at ``path`` and print every problem; start nothing."""
     match program.load(path):
         case Success(_):
-            print(f"{path}: settings are good", file=env.stdout)
+            print(f"{path}: settings are valid", file=env.stdout)
             return ExitStatus.SUCCESS
         case failed:
-            return tell_problems(path, failed, env)
+            return print_problems(path, failed, env)
 
 
-def tell_problems(
+def print_problems(
     path: str, failed: Result[Any, tuple[Problem, ...]], env: Environment
 ) -> ExitStatus:
-    """Print the mistakes of a file that did not load, one a line."""
+    """Print the problems of a file that did not load, one per line."""
     problems = failed.failure()
     for problem in problems:
         print(f"{path}: {problem}", file=env.stderr)
-    noun = "mistake" if len(problems) == 1 else "mistakes"
+    noun = "error" if len(problems) == 1 else "errors"
     print(f"{path}: {len(problems)} {noun}; nothing was started", file=env.stderr)
     return ExitStatus.BAD_SETTINGS
--- a/kumquatshift/settings/common.py
+++ b/kumquatshift/settings/common.py
@@ -1,11 +1,11 @@
-"""Sections that several programs share."""
+"""Sections shared by several programs."""
 
 from dataclasses import dataclass
 from datetime import datetime
 from enum import StrEnum
 
 from ..certificates import ca_faults, certificate_faults
-from .declare import free_keys, key
+from .declare import key, user_defined_keys
 from .problems import Problem
 from .values import (
     Choice,
@@ -19,7 +19,7 @@
 
 
 class LogLevel(StrEnum):
-    """The least grave level that is logged."""
+    """Minimum severity that is logged."""
 
     DEBUG = "debug"
     INFO = "info"
@@ -28,7 +28,7 @@
 
 
 class LogFormat(StrEnum):
-    """How a log line is written."""
+    """Format of log lines."""
 
     HUMAN = "human"
     JSON = "json"
@@ -36,63 +36,61 @@
 
 @dataclass(frozen=True)
 class LogSection:
-    """What is logged, and how."""
+    """Log level and format."""
 
-    level: LogLevel = key(
-        Choice(LogLevel), "The least grave level to log.", default="info"
-    )
+    level: LogLevel = key(Choice(LogLevel), "Minimum severity to log.", default="info")
     format: LogFormat = key(
         Choice(LogFormat),
-        "Lines for people, or one JSON object a line.",
+        "Human-readable lines, or one JSON object per line.",
         default="human",
     )
 
 
 @dataclass(frozen=True)
 class PlatformSection:
-    """Where the platform's object API answers."""
+    """Address of the platform's object API."""
 
     url: str = key(
         Url(),
-        "Base URL of the object API; empty: configuration comes from peers only.",
+        "Base URL of the object API; empty: configuration is received from peers only.",
         default="",
         example="http://127.0.0.10:8400",
     )
     ca: str = key(
         FilePath(),
-        "Certificate authority (PEM) that an https URL is checked against; "
-        "empty: the system's own.",
+        "Certificate authority (PEM) that an https server is verified against; "
+        "empty: the trust store of the system.",
         default="",
     )
 
-    def wrong_together(self) -> list[Problem]:
-        """Return the mistakes that show only from both keys together."""
+    def check_consistency(self) -> list[Problem]:
+        """Return the inconsistencies between the two keys."""
         if self.ca and not self.url.startswith("https:"):
             allowed = "a CA only with an https URL in [platform] url"
             return [Problem("platform", "ca", repr(self.ca), allowed)]
         return []
 
-    def wrong_files(self, now: datetime) -> list[Problem]:
-        """Return what is wrong with the file of the authority."""
+    def check_files(self, now: datetime) -> list[Problem]:
+        """Return the problems of the CA file."""
         faults = ca_faults(self.ca, now) if self.ca else []
         return [Problem("platform", "ca", each.found, each.allowed) for each in faults]
 
 
 @dataclass(frozen=True)
 class PeersSection:
-    """Entries known from the start."""
+    """Entries known at start-up."""
 
-    members: tuple[Member, ...] = free_keys(
+    members: tuple[Member, ...] = user_defined_keys(
         MemberLine(),
-        "One line for each entry; the entry itself may be listed.",
+        "One line per entry; the entry itself may be included.",
         "NAME = DOMAIN ADDRESS",
         ("e1", "north-a 127.0.1.1"),
         ("e2", "north-a 127.0.1.2"),
         ("e3", "north-b 127.0.1.3"),
     )
 
-    def wrong_together(self) -> list[Problem]:
-        """Return the mistakes that show only from several lines together."""
+    def check_consistency(self) -> list[Problem]:
+        """Return the inconsistencies between lines."""
         owners: dict[str, str] = {}
         problems = []
         for member in self.members:
@@ -100,7 +98,7 @@
             if owner != member.name:
                 found = f"{member.address}, the address of {owner} too"
                 problem = Problem(
-                    "peers", member.name, found, "an address of its own for each"
+                    "peers", member.name, found, "a unique address for each entry"
                 )
                 problems.append(problem)
         return problems
@@ -108,36 +106,39 @@
 
 @dataclass(frozen=True)
 class KeysSection:
-    """Keys of the digest on datagrams between entries."""
+    """Keys that authenticate datagrams between entries."""
 
     current: Secret | None = key(
         HexKey(),
-        "Key that seals what is sent; empty: loopback only, datagrams unsealed.",
+        "Key that authenticates sent datagrams; empty: datagrams are not "
+        "authenticated, which is allowed on loopback addresses only.",
         default="",
     )
     previous: Secret | None = key(
         HexKey(),
-        "Key that is taken too, while keys are changed over.",
+        "Key that is also accepted on received datagrams, during key rotation.",
         default="",
     )
 
-    def wrong_together(self) -> list[Problem]:
-        """Return the mistakes that show only from both keys together."""
+    def check_consistency(self) -> list[Problem]:
+        """Return the inconsistencies between the two keys."""
         if self.previous and not self.current:
-            allowed = "a key whenever previous has one"
+            allowed = "a key, since previous is set"
             return [Problem("keys", "current", "nothing", allowed)]
         return []
 
 
 @dataclass(frozen=True)
 class TlsSection:
-    """Files for mutual TLS between the system's own processes."""
+    """Files for mutual TLS between the processes of a site."""
 
     ca: str = key(
-        FilePath(), "Certificate authority (PEM) of the other processes.", default=""
+        FilePath(),
+        "Certificate authority (PEM) that issued the peers' certificates.",
+        default="",
     )
     certificate: str = key(
-        FilePath(), "This process's certificate (PEM), with its chain.", default=""
+        FilePath(), "Certificate of this process (PEM), with its chain.", default=""
     )
     key: str = key(FilePath(), "Private key (PEM) of the certificate.", default="")
 
@@ -146,8 +147,8 @@
         """Whether TLS is used."""
         return bool(self.ca and self.certificate and self.key)
 
-    def wrong_together(self) -> list[Problem]:
-        """Return the mistakes that show only from the three keys together."""
+    def check_consistency(self) -> list[Problem]:
+        """Return the keys that are missing while others are set."""
         given = {"ca": self.ca, "certificate": self.certificate, "key": self.key}
         if not any(given.values()):
             return []
@@ -158,8 +159,11 @@
             if not value
         ]
 
-    def wrong_files(self, now: datetime, address: str = "") -> list[Problem]:
-        """Return what is wrong with the files; ``address`` must be named in them."""
+    def check_files(self, now: datetime, address: str = "") -> list[Problem]:
+        """Return the problems of the files.
+
+        The certificate must be valid for ``address``, if one is given.
+        """
         if not self.enabled:
             return []
         faults = certificate_faults(self.ca, self.certificate, self.key, now, address)
--- a/kumquatshift/settings/ctl.py
+++ b/kumquatshift/settings/ctl.py
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class CtlSection:
-    """How the command line reaches entries."""
+    """How kumquat-ctl reaches entries."""
 
     admin_port: int = key(
         port(), "Admin port of every entry.", default="7300", unit="TCP"
@@ -21,18 +21,18 @@
 
 @dataclass(frozen=True)
 class CtlSettings(ProgramSettings):
-    """All settings of the command line."""
+    """All settings of kumquat-ctl."""
 
-    ctl: CtlSection = section(CtlSection, "The command line itself.")
+    ctl: CtlSection = section(CtlSection, "How kumquat-ctl reaches entries.")
     platform: PlatformSection = section(PlatformSection, "The platform's object API.")
     peers: PeersSection = section(
-        PeersSection, "Entries to ask while the platform's list is out of reach."
+        PeersSection, "Entries to query while the platform is unreachable."
     )
     tls: TlsSection = section(
-        TlsSection, "Mutual TLS between processes: all three or none."
+        TlsSection, "Mutual TLS between processes; set all three keys or none."
     )
     log: LogSection = section(LogSection, "Logging.")
 
-    def wrong_files(self, now: datetime) -> list[Problem]:
-        """Return what is wrong with the files that the settings name."""
-        return self.platform.wrong_files(now) + self.tls.wrong_files(now)
+    def check_files(self, now: datetime) -> list[Problem]:
+        """Return the problems of the files that the settings refer to."""
+        return self.platform.check_files(now) + self.tls.check_files(now)
--- a/kumquatshift/settings/declare.py
+++ b/kumquatshift/settings/declare.py
@@ -2,7 +2,8 @@
 
 A section is a frozen data class whose fields are made by `key`; a program's
 settings are a frozen data class whose fields are made by `section`. Reading,
-checking, the sample files and the documentation all come from these.
+validation, the sample files and the documentation are all derived from these
+declarations.
 """
 
 import dataclasses
@@ -16,7 +17,7 @@
 
 
 class NamedValueType(Protocol):
-    """Reads one key whose name is free; raises `ValueError` like `ValueType`."""
+    """Parses one key with a user-chosen name; raises `ValueError` like `ValueType`."""
 
     allowed: str
 
@@ -29,9 +30,9 @@
 class Key:
     """One key of a section.
 
-    ``default`` is the text that stands when the key is absent, None if it must
-    be given. ``unit`` is empty for values without one. ``example`` is shown in
-    the sample file in place of the default.
+    ``default`` is the text that is used if the key is absent, or None if the key
+    is required. ``unit`` is empty for values without a unit. ``example``, if
+    given, is shown in the sample file in place of the default.
     """
 
     name: str
@@ -43,19 +44,19 @@
 
     @property
     def secret(self) -> bool:
-        """Whether no value may be printed."""
+        """Whether values of this key must never be printed."""
         return isinstance(self.type, HexKey)
 
-    def hides(self, text: str) -> bool:
-        """Whether this text must not be printed; a URL may hold a password."""
+    def is_sensitive(self, text: str) -> bool:
+        """Whether this text must not be printed; a URL may contain a password."""
         return self.secret or (isinstance(self.type, Url) and "@" in text)
 
 
 @dataclass(frozen=True)
-class FreeKeys:
-    """Keys whose names the user chooses, gathered in one tuple.
+class UserDefinedKeys:
+    """Keys with user-chosen names, collected in one tuple.
 
-    ``form`` is how a line is written; ``example`` is shown in the sample file.
+    ``form`` is the syntax of a line; ``example`` is shown in the sample file.
     """
 
     name: str
@@ -67,21 +68,25 @@
 
 @dataclass(frozen=True)
 class Section:
-    """One section of a program's file, and the data class that it fills."""
+    """One section of a program's file, and the data class that it is read into."""
 
     name: str
-    form: type
+    section_class: type
     help: str
 
     @property
     def keys(self) -> tuple[Key, ...]:
-        """The section's fixed keys."""
-        return tuple(d for d in _declarations(self.form) if isinstance(d, Key))
+        """The keys with fixed names."""
+        return tuple(d for d in _declarations(self.section_class) if isinstance(d, Key))
 
     @property
-    def free(self) -> FreeKeys | None:
-        """The section's free keys, if it has them."""
-        found = [d for d in _declarations(self.form) if isinstance(d, FreeKeys)]
+    def user_defined(self) -> UserDefinedKeys | None:
+        """The keys with user-chosen names, if the section allows them."""
+        found = [
+            d
+            for d in _declarations(self.section_class)
+            if isinstance(d, UserDefinedKeys)
+        ]
         return found[0] if found else None
 
 
@@ -93,30 +98,30 @@
     unit: str = "",
     example: str = "",
 ) -> Any:
-    """Declare one key; the field's name is the key's."""
+    """Declare one key, named like the field."""
     declaration = Key("", type, help, default, unit, example)
     return dataclasses.field(metadata={DECLARATION: declaration})
 
 
-def free_keys(
+def user_defined_keys(
     type: NamedValueType, help: str, form: str, *example: tuple[str, str]
 ) -> Any:
-    """Declare that the section's other keys are read by ``type``."""
-    declaration = FreeKeys("", type, help, form, example)
+    """Declare that all other keys of the section are parsed by ``type``."""
+    declaration = UserDefinedKeys("", type, help, form, example)
     return dataclasses.field(metadata={DECLARATION: declaration})
 
 
-def section(form: type, help: str) -> Any:
-    """Declare one section; the field's name is the section's."""
-    declaration = Section("", form, help)
+def section(section_class: type, help: str) -> Any:
+    """Declare one section, named like the field."""
+    declaration = Section("", section_class, help)
     return dataclasses.field(metadata={DECLARATION: declaration})
 
 
 def sections_of(program: type) -> tuple[Section, ...]:
-    """Return the sections of a program's settings, in order."""
+    """Return the sections of a program's settings in declaration order."""
     return tuple(_declarations(program))
 
 
-def _declarations(form: type) -> Iterator[Any]:
-    for item in dataclasses.fields(form):
+def _declarations(cls: type) -> Iterator[Any]:
+    for item in dataclasses.fields(cls):
         yield dataclasses.replace(item.metadata[DECLARATION], name=item.name)
--- a/kumquatshift/settings/entry.py
+++ b/kumquatshift/settings/entry.py
@@ -13,31 +13,42 @@
 
 @dataclass(frozen=True)
 class EntrySection:
-    """Who the entry is, and where it listens."""
+    """Identity of the entry, and the addresses it listens on."""
 
     name: str = key(Name(), "Name of this entry, unique in the site.", example="e1")
     domain: str = key(Name(), "Failure domain of this VM.", example="north-a")
     address: str = key(
-        Ipv4(), "Address that all ports are opened on.", example="127.0.1.1"
+        Ipv4(), "Address that all ports are bound to.", example="127.0.1.1"
     )
     packet_port: int = key(
-        port(), "Port for packets of fabric and targets.", default="6080", unit="UDP"
+        port(),
+        "Port for packets from the fabric and from targets.",
+        default="6080",
+        unit="UDP",
     )
     peer_port: int = key(
-        port(), "Port for datagrams of other entries.", default="7100", unit="UDP"
+        port(), "Port for datagrams from other entries.", default="7100", unit="UDP"
     )
     control_port: int = key(
         port(), "Port for gRPC from entries and operators.", default="7200", unit="TCP"
     )
     admin_port: int = key(
-        port(), "Port for readiness, dump and metrics.", default="7300", unit="TCP"
+        port(),
+        "Port for readiness checks, state dumps and metrics.",
+        default="7300",
+        unit="TCP",
     )
 
-    def wrong_together(self) -> list[Problem]:
-        """Return the ports that are given twice."""
+    def check_consistency(self) -> list[Problem]:
+        """Return the ports that are used twice."""
         pairs = (("packet_port", "peer_port"), ("control_port", "admin_port"))
         return [
-            Problem("entry", second, f"'{getattr(self, second)}'", f"not {first}'s")
+            Problem(
+                "entry",
+                second,
+                f"'{getattr(self, second)}'",
+                f"not the same as {first}",
+            )
             for first, second in pairs
             if getattr(self, first) == getattr(self, second)
         ]
@@ -45,40 +56,40 @@
 
 @dataclass(frozen=True)
 class FabricSection:
-    """Where the fabric takes and gives packets."""
+    """Addresses of the fabric."""
 
     address: str = key(
-        Ipv4(), "Where packets to callers are sent.", example="127.0.3.1"
+        Ipv4(), "Address that packets for callers are sent to.", example="127.0.3.1"
     )
     packet_port: int = key(
-        port(), "Port that packets to callers go to.", default="6080", unit="UDP"
+        port(), "Port that packets for callers are sent to.", default="6080", unit="UDP"
     )
     sources: tuple[str, ...] = key(
         Ipv4List(),
-        "Addresses that packets may come from, separated by commas; "
-        "empty: the fabric's address alone.",
+        "Source addresses that packets are accepted from, separated by commas; "
+        "empty: only the address of the fabric.",
         default="",
     )
 
     @property
     def allowed_sources(self) -> tuple[str, ...]:
-        """Addresses that the fabric's packets may come from."""
+        """Source addresses that packets of the fabric are accepted from."""
         return self.sources or (self.address,)
 
 
 @dataclass(frozen=True)
 class LimitsSection:
-    """Bounds on what the entry spends and holds."""
+    """Limits on bandwidth and memory."""
 
     control_bytes_per_s: int = key(
         Whole(256, 1_000_000),
-        "Budget for what is sent to other entries outside the packet path.",
+        "Bandwidth limit of the traffic to other entries outside the packet path.",
         default="4096",
         unit="bytes a second",
     )
     max_flows: int = key(
         Whole(100, 10_000_000),
-        "Most flows held; above it new flows are refused.",
+        "Maximum number of flows held; beyond it new flows are refused.",
         default="500000",
         unit="flows",
     )
@@ -86,32 +97,32 @@
 
 @dataclass(frozen=True)
 class TimersSection:
-    """Times of membership and of a graceful shutdown."""
+    """Timers of cluster membership and of graceful shutdown."""
 
     heartbeat_s: float = key(
-        Number(0.05, 60), "Time between heartbeats.", default="1.0", unit="seconds"
+        Number(0.05, 60), "Interval between heartbeats.", default="1.0", unit="seconds"
     )
     suspect_s: float = key(
         Number(0.1, 300),
-        "Time without a heartbeat after which a peer is passed by.",
+        "Time without a heartbeat after which a peer is suspected and bypassed.",
         default="2.5",
         unit="seconds",
     )
     forget_s: float = key(
         Number(1, 86_400),
-        "Time without a heartbeat after which a peer is forgotten.",
+        "Time without a heartbeat after which a peer is removed from the membership.",
         default="60",
         unit="seconds",
     )
     drain_s: float = key(
         Number(0, 3600),
-        "Longest time that a leaving entry goes on relaying.",
+        "Maximum time for which a leaving entry continues to relay packets.",
         default="10",
         unit="seconds",
     )
 
-    def wrong_together(self) -> list[Problem]:
-        """Return the timers that contradict each other."""
+    def check_consistency(self) -> list[Problem]:
+        """Return the timers whose order is invalid."""
         problems = []
         if self.suspect_s <= self.heartbeat_s:
             allowed = f"more than heartbeat_s, which is {self.heartbeat_s:g}"
@@ -126,8 +137,8 @@
         return problems
 
 
-def _contradicted_by_peers(entry: EntrySection, peers: PeersSection) -> list[Problem]:
-    allowed = f"'{entry.domain} {entry.address}', as [entry] says of this entry"
+def _self_peer_mismatches(entry: EntrySection, peers: PeersSection) -> list[Problem]:
+    allowed = f"'{entry.domain} {entry.address}', as configured in [entry]"
     return [
         Problem("peers", peer.name, f"'{peer.domain} {peer.address}'", allowed)
         for peer in peers.members
@@ -136,7 +147,7 @@
     ]
 
 
-def _unprotected(
+def _missing_protection(
     entry: EntrySection, keys: KeysSection, tls: TlsSection
 ) -> list[Problem]:
     if ipaddress.IPv4Address(entry.address).is_loopback:
@@ -156,25 +167,27 @@
 class EntrySettings(ProgramSettings):
     """All settings of one entry."""
 
-    entry: EntrySection = section(EntrySection, "Who this entry is.")
-    fabric: FabricSection = section(FabricSection, "Where the fabric is.")
+    entry: EntrySection = section(EntrySection, "Identity and addresses of this entry.")
+    fabric: FabricSection = section(FabricSection, "Addresses of the fabric.")
     platform: PlatformSection = section(PlatformSection, "The platform's object API.")
-    peers: PeersSection = section(PeersSection, "Entries known from the start.")
-    keys: KeysSection = section(KeysSection, "Digest keys between entries.")
+    peers: PeersSection = section(PeersSection, "Entries known at start-up.")
+    keys: KeysSection = section(
+        KeysSection, "Keys that authenticate datagrams between entries."
+    )
     tls: TlsSection = section(
-        TlsSection, "Mutual TLS between processes: all three or none."
+        TlsSection, "Mutual TLS between processes; set all three keys or none."
     )
-    limits: LimitsSection = section(LimitsSection, "Bounds on work and memory.")
-    timers: TimersSection = section(TimersSection, "Membership and shutdown.")
+    limits: LimitsSection = section(LimitsSection, "Limits on bandwidth and memory.")
+    timers: TimersSection = section(TimersSection, "Timers of membership and shutdown.")
     log: LogSection = section(LogSection, "Logging.")
 
-    def wrong_files(self, now: datetime) -> list[Problem]:
-        """Return what is wrong with the files that the settings name."""
-        return self.platform.wrong_files(now) + self.tls.wrong_files(
+    def check_files(self, now: datetime) -> list[Problem]:
+        """Return the problems of the files that the settings refer to."""
+        return self.platform.check_files(now) + self.tls.check_files(
             now, self.entry.address
         )
 
     cross_checks = (
-        CrossCheck(("entry", "peers"), _contradicted_by_peers),
-        CrossCheck(("entry", "keys", "tls"), _unprotected),
+        CrossCheck(("entry", "peers"), _self_peer_mismatches),
+        CrossCheck(("entry", "keys", "tls"), _missing_protection),
     )
--- a/kumquatshift/settings/problems.py
+++ b/kumquatshift/settings/problems.py
@@ -1,4 +1,4 @@
-"""One mistake in a settings file, told with its remedy."""
+"""Problems of settings files, each reported with what is allowed instead."""
 
 import difflib
 from collections.abc import Iterable
@@ -9,9 +9,9 @@
 
 @dataclass(frozen=True)
 class Problem:
-    """What is wrong at one place of a file; ``found`` never holds a secret.
+    """A problem at one place of a file; ``found`` never contains a secret.
 
-    ``section`` and ``key`` are empty when the fault is not at one of them::
+    ``section`` and ``key`` are empty if the problem does not concern one of them::
 
         >>> print(Problem("entry", "packet_port", "'0'", "a port from 1 to 65535"))
         [entry] packet_port: found '0'; allowed: a port from 1 to 65535
@@ -28,17 +28,17 @@
 
 
 def unknown_section(name: str, known: Iterable[str]) -> Problem:
-    """Tell of a section that the program does not have."""
+    """Return the problem of a section that the program does not have."""
     names = [f"[{section}]" for section in known]
-    return Problem(name, "", "an unknown section", _nearest(f"[{name}]", names))
+    return Problem(name, "", "an unknown section", _suggestion(f"[{name}]", names))
 
 
 def unknown_key(section: str, name: str, known: Iterable[str]) -> Problem:
-    """Tell of a key that the section does not have."""
-    return Problem(section, name, "an unknown key", _nearest(name, list(known)))
+    """Return the problem of a key that the section does not have."""
+    return Problem(section, name, "an unknown key", _suggestion(name, list(known)))
 
 
-def _nearest(name: str, known: list[str]) -> str:
+def _suggestion(name: str, known: list[str]) -> str:
     close = difflib.get_close_matches(name.lower(), known, n=1, cutoff=0.5)
     others = ", ".join(known)
     if not close:
--- a/kumquatshift/settings/read.py
+++ b/kumquatshift/settings/read.py
@@ -1,4 +1,4 @@
-"""Reading a settings file against its declarations."""
+"""Parsing and validation of settings files against the declarations."""
 
 from collections.abc import Callable, Mapping
 from configparser import (
@@ -16,7 +16,7 @@
 
 from returns.result import Failure, Result, Success
 
-from .declare import FreeKeys, Key, Section, sections_of
+from .declare import Key, Section, UserDefinedKeys, sections_of
 from .problems import HIDDEN, Problem, unknown_key, unknown_section
 
 NO_DEFAULT_SECTION = "\0"
@@ -26,27 +26,28 @@
 
 
 @runtime_checkable
-class SelfChecking(Protocol):
-    """A section whose keys have to fit each other."""
+class SupportsConsistencyCheck(Protocol):
+    """A section with constraints between its keys."""
 
-    def wrong_together(self) -> list[Problem]:
-        """Return the mistakes that show only from several keys together."""
+    def check_consistency(self) -> list[Problem]:
+        """Return the inconsistencies between keys."""
         ...
 
 
 @dataclass(frozen=True)
 class CrossCheck:
-    """Looks for mistakes that show only from several sections together.
+    """A check of constraints between sections.
 
-    ``find`` gets the sections named, once each of them could be read.
+    ``find_problems`` is called with the named sections if each of them could be
+    parsed.
     """
 
     sections: tuple[str, ...]
-    find: Callable[..., list[Problem]]
+    find_problems: Callable[..., list[Problem]]
 
 
 class ProgramSettings:
-    """Base of each program's settings."""
+    """Base class of the settings of each program."""
 
     cross_checks: ClassVar[tuple[CrossCheck, ...]] = ()
 
@@ -54,22 +55,24 @@
     def load(
         cls, path: str | Path, now: datetime | None = None
     ) -> Result[Self, Problems]:
-        """Read the file at ``path``; the failure lists every mistake in it.
+        """Read the file at ``path``; a failure lists every problem in it.
 
-        The files that it names are checked too, as of ``now``, which is the
-        present if it is not given.
+        The files that it refers to are checked too. Certificates must be valid at
+        ``now``, by default the current time.
         """
         try:
             text = Path(path).read_text(encoding="utf-8-sig")
         except OSError as exc:
-            return Failure((_file_problem(exc.strerror or str(exc), "a file to read"),))
+            return Failure(
+                (_file_problem(exc.strerror or str(exc), "a readable file"),)
+            )
         except UnicodeDecodeError as exc:
             return Failure((_file_problem(str(exc), "text in UTF-8"),))
         moment = now or datetime.now(UTC)
-        return cls.from_text(text).bind(lambda cfg: _with_files(cfg, moment))
+        return cls.from_text(text).bind(lambda cfg: _with_files_checked(cfg, moment))
 
-    def wrong_files(self, now: datetime) -> list[Problem]:
-        """Return what is wrong with the files that the settings name."""
+    def check_files(self, now: datetime) -> list[Problem]:
+        """Return the problems of the files that the settings refer to."""
         return []
 
     @classmethod
@@ -83,7 +86,7 @@
 
     @classmethod
     def from_config(cls, cfg: ConfigParser) -> Result[Self, Problems]:
-        """Check a parsed file and build the settings from it."""
+        """Validate a parsed file and build the settings from it."""
         sections = sections_of(cls)
         known = [section.name for section in sections]
         problems = [
@@ -96,31 +99,31 @@
         for check in cls.cross_checks:
             parts = [values[name] for name in check.sections]
             if None not in parts:
-                problems += check.find(*parts)
+                problems += check.find_problems(*parts)
         return Failure(tuple(problems)) if problems else Success(cls(**values))
 
 
-def _with_files(
+def _with_files_checked(
     cfg: ProgramSettings, now: datetime
 ) -> Result[ProgramSettings, Problems]:
-    problems = cfg.wrong_files(now)
+    problems = cfg.check_files(now)
     return Failure(tuple(problems)) if problems else Success(cfg)
 
 
 def parse_ini(text: str) -> tuple[ConfigParser, Problems]:
-    """Split INI text into sections; on mistakes return what could be read too."""
+    """Parse INI text into sections; on errors, also return what could be parsed."""
     cfg = _parser(strict=True)
     try:
         cfg.read_string(text)
     except (DuplicateSectionError, DuplicateOptionError) as exc:
-        cfg, others = _parse_loosely(text)
+        cfg, others = _parse_lenient(text)
         return cfg, (_duplicate(exc), *others)
     except Error as exc:
         return cfg, _syntax_problems(exc)
     return cfg, ()
 
 
-def _parse_loosely(text: str) -> tuple[ConfigParser, Problems]:
+def _parse_lenient(text: str) -> tuple[ConfigParser, Problems]:
     cfg = _parser(strict=False)
     try:
         cfg.read_string(text)
@@ -140,18 +143,20 @@
 def _duplicate(exc: DuplicateSectionError | DuplicateOptionError) -> Problem:
     key = getattr(exc, "option", "")
     what = "key" if key else "section"
-    found = f"the {what} a second time in line {exc.lineno}"
+    found = f"a duplicate {what} in line {exc.lineno}"
     return Problem(exc.section, key, found, f"each {what} once")
 
 
 def _syntax_problems(exc: Error) -> Problems:
     allowed = "[section], key = value, or a comment that starts with #"
     if isinstance(exc, MissingSectionHeaderError):
-        return (_file_problem(f"line {exc.lineno} before any [section]", allowed),)
+        return (
+            _file_problem(f"line {exc.lineno} before the first [section]", allowed),
+        )
     if isinstance(exc, ParsingError):
         lines = [lineno for lineno, _ in exc.errors]
         return tuple(
-            _file_problem(f"line {n} of no known form", allowed) for n in lines
+            _file_problem(f"line {n}, which has invalid syntax", allowed) for n in lines
         )
     return (_file_problem(str(exc), allowed),)
 
@@ -163,25 +168,27 @@
 def _read_section(
     section: Section, raw: Mapping[str, str], problems: list[Problem]
 ) -> Any:
-    """Return the section's data class, or None after adding to ``problems``."""
+    """Return the section, or None if problems were added to ``problems``."""
     before = len(problems)
     known = {key.name: key for key in section.keys}
-    free = section.free
+    user_defined = section.user_defined
     values = {
         name: _read_key(section, key, raw.get(name), problems)
         for name, key in known.items()
     }
     others = {name: text for name, text in raw.items() if name not in known}
-    if free:
-        values[free.name] = _read_free(section, free, others, problems)
+    if user_defined:
+        values[user_defined.name] = _read_user_defined(
+            section, user_defined, others, problems
+        )
     else:
         problems += [unknown_key(section.name, name, known) for name in others]
     if len(problems) > before:
         return None
-    form = section.form(**values)
-    if isinstance(form, SelfChecking):
-        problems += form.wrong_together()
-    return form
+    parsed = section.section_class(**values)
+    if isinstance(parsed, SupportsConsistencyCheck):
+        problems += parsed.check_consistency()
+    return parsed
 
 
 def _read_key(
@@ -190,32 +197,37 @@
     if not text and key.default is not None:
         text = key.default
         if not text:
-            return _empty(key)
+            return _empty_value(key)
     if not text:
         problems.append(Problem(section.name, key.name, "nothing", _allowed(key)))
         return None
     try:
         return key.type.parse(text)
     except ValueError:
-        found = HIDDEN if key.hides(text) else _shown(text)
+        found = HIDDEN if key.is_sensitive(text) else _truncated_repr(text)
         problems.append(Problem(section.name, key.name, found, _allowed(key)))
         return None
 
 
-def _empty(key: Key) -> Any:
+def _empty_value(key: Key) -> Any:
     return None if key.secret else ""
 
 
-def _read_free(
-    section: Section, free: FreeKeys, raw: Mapping[str, str], problems: list[Problem]
+def _read_user_defined(
+    section: Section,
+    user_defined: UserDefinedKeys,
+    raw: Mapping[str, str],
+    problems: list[Problem],
 ) -> tuple[Any, ...]:
     values = []
     for name, text in raw.items():
         try:
-            values.append(free.type.parse_named(name, text))
+            values.append(user_defined.type.parse_named(name, text))
         except ValueError:
-            found = _shown(text)
-            problems.append(Problem(section.name, name, found, free.type.allowed))
+            found = _truncated_repr(text)
+            problems.append(
+                Problem(section.name, name, found, user_defined.type.allowed)
+            )
     return tuple(values)
 
 
@@ -224,7 +236,7 @@
     return key.type.allowed + unit
 
 
-def _shown(text: str) -> str:
+def _truncated_repr(text: str) -> str:
     if len(text) > MAX_SHOWN_CHARS:
         text = text[:MAX_SHOWN_CHARS] + "..."
     return repr(text)
--- a/kumquatshift/settings/standins.py
+++ b/kumquatshift/settings/standins.py
@@ -1,9 +1,9 @@
-"""Settings of `kumquat-standin`, for tests and the demo; loopback only."""
+"""Settings of `kumquat-standin`, for tests and the demo on loopback addresses."""
 
 from dataclasses import dataclass
 
 from .common import LogSection
-from .declare import free_keys, key, section
+from .declare import key, section, user_defined_keys
 from .problems import Problem
 from .read import ProgramSettings
 from .values import (
@@ -24,29 +24,31 @@
 
 @dataclass(frozen=True)
 class PlatformStandinSection:
-    """Where the object API listens, and how it behaves."""
+    """Address and behaviour of the object API."""
 
-    address: str = key(Ipv4(loopback=True), "Where it listens.", default="127.0.0.10")
+    address: str = key(
+        Ipv4(loopback=True), "Address to listen on.", default="127.0.0.10"
+    )
     port: int = key(port(), "Port of the object API.", default="8400", unit="TCP")
     vms_lag_s: float = key(
         Number(0, 3600),
-        "Time by which the list of VMs lags.",
+        "Delay after which changes show in the list of VMs.",
         default="2",
         unit="seconds",
     )
     history: int = key(
         Whole(1, 10_000_000),
-        "Changes that a watch may begin in the past.",
+        "Number of past changes from which a watch can start.",
         default="10000",
         unit="versions",
     )
     certificate: str = key(
-        FilePath(), "Certificate (PEM) to answer with over TLS.", default=""
+        FilePath(), "Server certificate (PEM); enables TLS.", default=""
     )
     key: str = key(FilePath(), "Private key (PEM) of the certificate.", default="")
 
-    def wrong_together(self) -> list[Problem]:
-        """Return the one of certificate and key that is missing."""
+    def check_consistency(self) -> list[Problem]:
+        """Return the missing one of certificate and key."""
         given = {"certificate": self.certificate, "key": self.key}
         if not any(given.values()):
             return []
@@ -60,11 +62,11 @@
 
 @dataclass(frozen=True)
 class VmsSection:
-    """VMs that the platform lists from the start."""
+    """VMs that the platform lists at start-up."""
 
-    members: tuple[Vm, ...] = free_keys(
+    members: tuple[Vm, ...] = user_defined_keys(
         VmLine(),
-        "One line for each VM.",
+        "One line per VM.",
         "NAME = DOMAIN ROLE ADDRESS [live|leaving]",
         ("e1", "north-a entry 127.0.1.1"),
         ("e2", "north-b entry 127.0.1.2"),
@@ -79,36 +81,40 @@
     platform: PlatformStandinSection = section(
         PlatformStandinSection, "The object API."
     )
-    vms: VmsSection = section(VmsSection, "VMs listed from the start.")
+    vms: VmsSection = section(VmsSection, "VMs listed at start-up.")
     log: LogSection = section(LogSection, "Logging.")
 
 
 @dataclass(frozen=True)
 class FabricStandinSection:
-    """Where the fabric listens, and what goes wrong in it."""
+    """Address of the fabric, and the faults it injects."""
 
-    address: str = key(Ipv4(loopback=True), "Where it listens.", default="127.0.3.1")
+    address: str = key(
+        Ipv4(loopback=True), "Address to listen on.", default="127.0.3.1"
+    )
     seed: int = key(
         Whole(0, MAX_SEED),
-        "Seed of the choice of an entry for each packet.",
+        "Seed of the random choice of an entry for each packet.",
         default="1",
     )
-    loss: float = key(Number(0, 1), "Share of packets that are lost.", default="0")
+    loss: float = key(Number(0, 1), "Fraction of packets that are lost.", default="0")
     reorder: float = key(
-        Number(0, 1), "Share of packets that later ones overtake.", default="0"
+        Number(0, 1),
+        "Fraction of packets that are delivered out of order.",
+        default="0",
     )
     duplicate: float = key(
-        Number(0, 1), "Share of packets that arrive twice.", default="0"
+        Number(0, 1), "Fraction of packets that are delivered twice.", default="0"
     )
 
 
 @dataclass(frozen=True)
 class FabricEntriesSection:
-    """Entries that packets are sprayed over."""
+    """Entries that packets are distributed to."""
 
-    members: tuple[Vm, ...] = free_keys(
+    members: tuple[Vm, ...] = user_defined_keys(
         VmLine(),
-        "One line for each entry.",
+        "One line per entry.",
         "NAME = DOMAIN ROLE ADDRESS [live|leaving]",
         ("e1", "north-a entry 127.0.1.1"),
         ("e2", "north-b entry 127.0.1.2"),
@@ -119,9 +125,9 @@
 class ListenersSection:
     """Service addresses that callers use."""
 
-    members: tuple[Listener, ...] = free_keys(
+    members: tuple[Listener, ...] = user_defined_keys(
         ListenerLine(),
-        "One line for each service address.",
+        "One line per service address.",
         "NAME = ADDRESS PORT udp|tcp",
         ("tills", "127.0.9.1 5683 udp"),
         ("reports", "127.0.9.2 80 tcp"),
@@ -134,7 +140,7 @@
 
     fabric: FabricStandinSection = section(FabricStandinSection, "The fabric itself.")
     entries: FabricEntriesSection = section(
-        FabricEntriesSection, "Entries that packets are sprayed over."
+        FabricEntriesSection, "Entries that packets are distributed to."
     )
     services: ListenersSection = section(
         ListenersSection, "Service addresses that callers use."
@@ -144,44 +150,52 @@
 
 @dataclass(frozen=True)
 class TargetStandinSection:
-    """One target and the work that it bears."""
+    """One target, and its capacity."""
 
     name: str = key(Name(), "Name of this target.", example="t1")
-    service: str = key(Name(), "Service that it is a back end of.", example="tills")
-    address: str = key(Ipv4(loopback=True), "Where it listens.", example="127.0.2.1")
+    service: str = key(
+        Name(), "Service that this target is a back end of.", example="tills"
+    )
+    address: str = key(
+        Ipv4(loopback=True), "Address to listen on.", example="127.0.2.1"
+    )
     fabric_address: str = key(
-        Ipv4(loopback=True), "Where answers are sent.", default="127.0.3.1"
+        Ipv4(loopback=True), "Address that responses are sent to.", default="127.0.3.1"
     )
     fabric_port: int = key(
-        port(), "Port that answers are sent to.", default="6081", unit="UDP"
+        port(), "Port that responses are sent to.", default="6081", unit="UDP"
     )
     slots: int = key(
-        Whole(1, 10_000), "Requests that run at once.", default="2", unit="requests"
+        Whole(1, 10_000),
+        "Number of requests processed concurrently.",
+        default="2",
+        unit="requests",
     )
     backlog: int = key(
         Whole(0, 100_000),
-        "Requests that may wait; beyond them requests are refused.",
+        "Number of requests that may wait; further requests are refused.",
         default="6",
         unit="requests",
     )
     warm_s: float = key(
         Number(0, 3600),
-        "Time of work after which it bears its full share.",
+        "Time under load after which the target reaches its full capacity.",
         default="10",
         unit="seconds",
     )
     retry_s: int = key(
         Whole(0, 3600),
-        "When a refused caller is asked to come back.",
+        "Delay after which a refused caller is asked to retry.",
         default="1",
         unit="seconds",
     )
     load_lag_s: float = key(
-        Number(0, 600), "Age of the load that it reports.", default="0", unit="seconds"
+        Number(0, 600), "Age of the reported load.", default="0", unit="seconds"
     )
     load_factor: float = key(
         Number(0, 1000),
-        "What the reported load is multiplied by; other than 1 it misleads.",
+        "Factor that the reported load is multiplied by; any value other than 1 "
+        "makes the report wrong.",
         default="1",
     )
 
@@ -192,6 +206,6 @@
 
     target: TargetStandinSection = section(TargetStandinSection, "The target itself.")
     services: ListenersSection = section(
-        ListenersSection, "Service addresses that it serves."
+        ListenersSection, "Service addresses that this target serves."
     )
     log: LogSection = section(LogSection, "Logging.")
--- a/kumquatshift/settings/values.py
+++ b/kumquatshift/settings/values.py
@@ -1,4 +1,4 @@
-"""Types of values in settings files: how each is read and what it allows."""
+"""Value types of settings files: how each is parsed and what it allows."""
 
 import ipaddress
 import math
@@ -11,7 +11,7 @@
 from ..engine.objects import Protocol as ServiceProtocol
 
 NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,62}")
-WHOLE_PATTERN = re.compile(r"[+-]?[0-9]+")
+INTEGER_PATTERN = re.compile(r"[+-]?[0-9]+")
 NUMBER_PATTERN = re.compile(r"[+-]?([0-9]+(\.[0-9]*)?|\.[0-9]+)([eE][+-]?[0-9]+)?")
 MIN_KEY_BYTES = 16
 MAX_KEY_BYTES = 64
@@ -19,15 +19,15 @@
 
 
 class ValueType(Protocol):
-    """Reads the text of one key.
+    """Parses the text of one key.
 
-    ``parse`` returns the value, or raises `ValueError`; ``allowed`` says in
-    words what it takes.
+    ``parse`` returns the value or raises `ValueError`; ``allowed`` describes the
+    accepted values.
     """
 
     @property
     def allowed(self) -> str:
-        """What the type takes, for people."""
+        """Human-readable description of the accepted values."""
         ...
 
     def parse(self, text: str) -> Any:
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class Secret:
-    """Bytes that must not be printed; they show in no ``repr``, log or dump."""
+    """Bytes that must not appear in any ``repr``, log or dump."""
 
     value: bytes = field(repr=False)
 
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Member:
-    """An entry named in settings, with its failure domain and IPv4 address."""
+    """An entry listed in settings, with its failure domain and IPv4 address."""
 
     name: str
     domain: str
@@ -56,18 +56,18 @@
 
 @dataclass(frozen=True)
 class Text:
-    """Any one line of text."""
+    """A single line of any text."""
 
     allowed: str = "text"
 
     def parse(self, text: str) -> str:
-        """Return the text as it is."""
+        """Return the text unchanged."""
         return text
 
 
 @dataclass(frozen=True)
 class FilePath:
-    """Path of a file; whether it can be read shows when it is used."""
+    """Path of a file; whether the file is readable is not checked here."""
 
     allowed: str = "the path of a file"
 
@@ -95,33 +95,33 @@
 
 @dataclass(frozen=True)
 class Whole:
-    """A whole number from ``low`` to ``high``, both allowed."""
+    """An integer from ``low`` to ``high``, inclusive."""
 
     low: int
     high: int
 
     @property
     def allowed(self) -> str:
-        """The range in words."""
+        """Description of the range."""
         return f"a whole number from {self.low} to {self.high}"
 
     def parse(self, text: str) -> int:
         """Return the number."""
-        if not WHOLE_PATTERN.fullmatch(text):
+        if not INTEGER_PATTERN.fullmatch(text):
             raise ValueError
         return _within(int(text), self.low, self.high)
 
 
 @dataclass(frozen=True)
 class Number:
-    """A number from ``low`` to ``high``, both allowed."""
+    """A number from ``low`` to ``high``, inclusive."""
 
     low: float
     high: float
 
     @property
     def allowed(self) -> str:
-        """The range in words."""
+        """Description of the range."""
         return f"a number from {self.low:g} to {self.high:g}"
 
     def parse(self, text: str) -> float:
@@ -144,13 +144,13 @@
 
 @dataclass(frozen=True)
 class Choice:
-    """One member of an enum, by its value."""
+    """A member of an enum, given by its value."""
 
     members: type[StrEnum]
 
     @property
     def allowed(self) -> str:
-        """The values in words."""
+        """Description of the values."""
         return "one of " + ", ".join(self.members)
 
     def parse(self, text: str) -> StrEnum:
@@ -160,19 +160,19 @@
 
 @dataclass(frozen=True)
 class Ipv4:
-    """One IPv4 address; with ``loopback``, one of 127.0.0.0/8 only."""
+    """An IPv4 address; with ``loopback``, only one of 127.0.0.0/8."""
 
     loopback: bool = False
 
     @property
     def allowed(self) -> str:
-        """The address in words."""
+        """Description of the accepted addresses."""
         if self.loopback:
             return "an IPv4 loopback address such as 127.0.3.1"
         return "one IPv4 address such as 192.0.2.7"
 
     def parse(self, text: str) -> str:
-        """Return the address in its usual form."""
+        """Return the address in dotted-decimal notation."""
         address = ipaddress.IPv4Address(text)
         unusable = address.is_unspecified or address.is_multicast
         if unusable or (self.loopback and not address.is_loopback):
@@ -187,18 +187,18 @@
     allowed: str = "IPv4 addresses such as 192.0.2.7, 192.0.2.8"
 
     def parse(self, text: str) -> tuple[str, ...]:
-        """Return the addresses in their order."""
+        """Return the addresses in the order given."""
         return tuple(Ipv4().parse(part.strip()) for part in text.split(","))
 
 
 @dataclass(frozen=True)
 class Url:
-    """An ``http`` or ``https`` URL without path; may be empty."""
+    """An ``http`` or ``https`` URL without a path; may be empty."""
 
     allowed: str = "a URL such as https://platform.example:8400, or nothing"
 
     def parse(self, text: str) -> str:
-        """Return the URL without a slash at its end."""
+        """Return the URL without a trailing slash."""
         if not text:
             return ""
         parts = urlsplit(text)
@@ -212,7 +212,7 @@
 
 @dataclass(frozen=True)
 class HexKey:
-    """A secret key, written as hexadecimal digits."""
+    """A secret key in hexadecimal notation."""
 
     allowed: str = (
         f"{MIN_KEY_BYTES} to {MAX_KEY_BYTES} bytes as hexadecimal digits, "
@@ -220,7 +220,7 @@
     )
 
     def parse(self, text: str) -> Secret:
-        """Return the key, wrapped so that it is not printed."""
+        """Return the key, wrapped so that it is never printed."""
         data = bytes.fromhex(text)
         if not MIN_KEY_BYTES <= len(data) <= MAX_KEY_BYTES:
             raise ValueError
@@ -247,7 +247,7 @@
 
 
 class VmState(StrEnum):
-    """Whether the platform is about to take a VM away."""
+    """Whether the platform is about to remove a VM."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -255,7 +255,7 @@
 
 @dataclass(frozen=True)
 class Vm:
-    """A VM as the platform lists it."""
+    """A VM as listed by the platform."""
 
     name: str
     domain: str
--- a/tests/features/settings.feature
+++ b/tests/features/settings.feature
@@ -34,7 +34,7 @@
       | entry    | packet_port = 0          | [entry] packet_port: found '0'; allowed: a whole number from 1 to 65535 (UDP)     |
       | entry    | packet_port = 6080.0     | [entry] packet_port: found '6080.0'                                               |
       | entry    | admin_port =             | loads                                                                             |
-      | entry    | admin_port = 7200        | [entry] admin_port: found '7200'; allowed: not control_port's                     |
+      | entry    | admin_port = 7200        | [entry] admin_port: found '7200'; allowed: not the same as control_port           |
       | timers   | heartbeat_s = nan        | [timers] heartbeat_s: found 'nan'                                                 |
       | timers   | heartbeat_s = 1e999      | [timers] heartbeat_s: found '1e999'                                               |
       | timers   | heartbeat_s = 2 s        | [timers] heartbeat_s: found '2 s'; allowed: a number from 0.05 to 60 (seconds)    |
@@ -115,7 +115,7 @@
   Scenario: A good file passes the check
     Given a settings file of good text
     When the settings file is checked
-    Then the settings check ends with SUCCESS, telling "settings are good"
+    Then the settings check ends with SUCCESS, telling "settings are valid"
 
   Scenario: A digest key shows in no print of the settings
     Given entry settings for the address "127.13.0.1" with a key
