--- a/kumquatshift/cli/__init__.py
+++ b/kumquatshift/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""kumquat-ctl, the command-line client for operators."""
--- a/kumquatshift/cli/changes.py
+++ b/kumquatshift/cli/changes.py
@@ -1,4 +1,4 @@
-"""What has to change so that wanted objects stand, and how it is told."""
+"""Computes the changes that bring the platform to the desired objects."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, replace
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Difference:
-    """One field before and after; None where the object does not exist."""
+    """A field before and after; None where the object does not exist."""
 
     field: str
     before: object
@@ -35,9 +35,10 @@
 class Change:
     """One object to write, or to delete if ``after`` is None.
 
-    ``before`` is what was read; None if nothing stood. An order that seems to
-    stand already is written again if ``confirm`` is set: the read may have been
-    stale, and only a conditional write shows that it was not.
+    ``before`` is the object as read, or None if there was none. If ``confirm`` is
+    set, the object is written even if it seems to be in the desired state already:
+    the read may have been stale, and only a conditional write shows that it was
+    not.
     """
 
     kind: Kind
@@ -48,17 +49,17 @@
 
     @property
     def subject(self) -> str:
-        """Name the object in messages."""
+        """The name of the object in messages."""
         return subject(self.kind, self.name)
 
     @property
     def version(self) -> int:
-        """The version that must still stand, 0 if none may."""
+        """The version that the write requires, 0 if the object must not exist."""
         return self.before.version if self.before else 0
 
     @property
     def action(self) -> str:
-        """Say what is done."""
+        """The action that this change takes."""
         if self.after is None:
             return "remove"
         if self.before is None:
@@ -75,14 +76,14 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """Changes in the order of their making; ``notes`` tell what they bring about."""
+    """Changes in the order they are made; ``notes`` warn of their consequences."""
 
     changes: tuple[Change, ...]
     notes: tuple[str, ...] = ()
 
     @classmethod
     def of(cls, current: Sequence[Versioned], changes: Sequence[Change]) -> "Plan":
-        """Return the plan, noting the services that it leaves without targets."""
+        """Return the plan, with a note for each service it leaves without targets."""
         before = {(obj.kind, obj.name): obj.body for obj in current if obj.body}
         after = before | {(item.kind, item.name): item.after for item in changes}
         lost = unserved(filter(None, after.values())) - unserved(before.values())
@@ -108,10 +109,10 @@
 def plan_apply(
     current: Sequence[Versioned], desired: Sequence[DesiredObject]
 ) -> Result[Plan, Failure]:
-    """Return the changes, those that others need first; check what they lead to.
+    """Return the changes in order of dependency; check the resulting configuration.
 
-    A state that the file does not name stays as it stands, so that applying a
-    file never brings back what operators have taken out.
+    A state that the file does not set is preserved, so that applying a file never
+    puts back into service what operators have taken out.
     """
     live = {(obj.kind, obj.name): obj for obj in current if obj.body is not None}
     changes = []
@@ -130,7 +131,7 @@
 def plan_state_change(
     current: Sequence[Versioned], kind: Kind, name: str, state
 ) -> Result[Plan, Failure]:
-    """Return the change of one object's state."""
+    """Return the plan that changes the state of one object."""
 
     def plan(obj):
         change = Change(kind, name, obj, replace(obj.body, state=state), True)
@@ -142,7 +143,7 @@
 def plan_remove(
     current: Sequence[Versioned], kind: Kind, name: str
 ) -> Result[Plan, Failure]:
-    """Return the removal of one object; refuse it while others need it."""
+    """Return the plan that removes one object; refuse it while others refer to it."""
     bodies = [obj.body for obj in current if obj.body is not None]
 
     def check(obj):
@@ -155,12 +156,12 @@
 def find_object(
     current: Sequence[Versioned], kind: Kind, name: str
 ) -> Result[Versioned, Failure]:
-    """Return one live object by its name."""
+    """Return one existing object by its name."""
     for obj in current:
         if (obj.kind, obj.name) == (kind, name) and obj.body is not None:
             return Success(obj)
     text = f"{subject(kind, name)} does not exist"
-    remedy = f"see the names with: kumquat-ctl {kind} list"
+    remedy = f"list the names with: kumquat-ctl {kind} list"
     return result.Failure(Failure(ErrorKind.NOT_FOUND, text, remedy))
 
 
@@ -179,12 +180,14 @@
     if item.version is None or item.version == found:
         return None
     subject_name = subject(kind_of(item.body), item.body.name)
-    text = f"{subject_name}: the file is made from version {item.version}"
-    text += f", but {f'version {found}' if found else 'nothing'} stands"
+    text = f"{subject_name}: the file is based on version {item.version}"
+    text += (
+        f", but the platform holds {f'version {found}' if found else 'no such object'}"
+    )
     if before is not None:
         details = "; ".join(str(diff) for diff in differences(before.body, item.body))
-        text += (
-            f" (operation {before.operation or 'unnamed'}); it differs in: {details}"
-        )
-    remedy = f"merge with: kumquat-ctl {item.kind} show {item.body.name}"
+        text += f" (operation {before.operation or 'unnamed'}); differences: {details}"
+    remedy = (
+        f"merge with the current object: kumquat-ctl {item.kind} show {item.body.name}"
+    )
     return Failure(ErrorKind.CONFLICT, text, remedy)
--- a/kumquatshift/cli/definition.py
+++ b/kumquatshift/cli/definition.py
@@ -1,7 +1,7 @@
-"""The commands that `fire` offers; each one only says what was asked for.
+"""The commands that `fire` offers; each only returns a request.
 
-Fire calls a command before it has looked at all arguments, so a command here
-returns a request and does nothing: a mistyped flag is found before any write.
+Fire calls a command before it has parsed all arguments. A command here therefore
+has no side effects, so that a mistyped flag is detected before any write.
 """
 
 import math
@@ -25,11 +25,11 @@
 
 
 class UsageError(Exception):
-    """An argument is not what its command takes."""
+    """An argument is not valid for its command."""
 
 
 class _ObjectCommands:
-    """Commands that every kind of object has."""
+    """Commands common to all kinds of objects."""
 
     def __init__(self, kind: Kind):
         self._kind = kind
@@ -43,7 +43,7 @@
         return ListRequest(self._kind, read_switch("--json", json))
 
     def show(self, name, *, json="False"):
-        """Show one object, in the form that `apply` takes.
+        """Show one object, in the format that `apply` accepts.
 
         Args:
             name: the object's name
@@ -54,24 +54,24 @@
         )
 
     def apply(self, file, *, wait="", dry_run="False", json="False"):
-        """Create or change the objects of a file, which may hold this kind only.
+        """Create or change the objects of a file, which must all be of this kind.
 
         Args:
             file: INI or JSON; see docs/OPERATORS.md
             wait: seconds to wait until the change is in force at every entry
-            dry_run: say what would change, and change nothing
+            dry_run: show what would change without changing anything
             json: print JSON
         """
         options = read_options(wait, dry_run, json)
         return ApplyRequest(read_text("--file", file), self._kind, options)
 
     def remove(self, name, *, wait="", dry_run="False", json="False"):
-        """Delete one object that no other one needs.
+        """Delete one object that no other object refers to.
 
         Args:
             name: the object's name
             wait: seconds to wait until the change is in force at every entry
-            dry_run: say what would change, and change nothing
+            dry_run: show what would change without changing anything
             json: print JSON
         """
         options = read_options(wait, dry_run, json)
@@ -94,23 +94,23 @@
     """Targets: the back ends of services."""
 
     def admit(self, name, *, wait="", dry_run="False", json="False"):
-        """Let a target take new work; it starts cold.
+        """Send new work to a target, which starts cold.
 
         Args:
             name: the target
             wait: seconds to wait until the change is in force at every entry
-            dry_run: say what would change, and change nothing
+            dry_run: show what would change without changing anything
             json: print JSON
         """
         return self._set_state(name, TargetState.ADMITTED, wait, dry_run, json)
 
     def retire(self, name, *, wait="", dry_run="False", json="False"):
-        """Give a target no new work; its open flows stay to their end.
+        """Send no new work to a target; its open flows continue until they end.
 
         Args:
             name: the target
             wait: seconds to wait until the change is in force at every entry
-            dry_run: say what would change, and change nothing
+            dry_run: show what would change without changing anything
             json: print JSON
         """
         return self._set_state(name, TargetState.RETIRED, wait, dry_run, json)
@@ -120,12 +120,12 @@
     """Failure domains, which operators take out and bring back."""
 
     def out(self, name, *, wait="", dry_run="False", json="False"):
-        """Take a domain out: it gets no more packets, its flows are given up.
+        """Take a domain out: it gets no more packets, and its flows are dropped.
 
         Args:
             name: the domain
             wait: seconds to wait until the change is in force at every entry
-            dry_run: say what would change, and change nothing
+            dry_run: show what would change without changing anything
             json: print JSON
         """
         return self._set_state(name, DomainState.OUT, wait, dry_run, json)
@@ -136,21 +136,21 @@
         Args:
             name: the domain
             wait: seconds to wait until the change is in force at every entry
-            dry_run: say what would change, and change nothing
+            dry_run: show what would change without changing anything
             json: print JSON
         """
         return self._set_state(name, DomainState.IN, wait, dry_run, json)
 
 
-# `in` is a word of the language, so it cannot be the name of a method.
+# `in` is a Python keyword, so it cannot be the name of a method.
 setattr(DomainCommands, "in", DomainCommands.into)
 
 
 class Commands:
     """Operate a kumquatshift site through the platform's objects.
 
-    Flags of every command: --settings FILE names the INI settings, --platform
-    URL goes before them. Exit statuses are listed in docs/OPERATORS.md.
+    Flags of every command: --settings FILE sets the INI settings file, and
+    --platform URL overrides its URL. Exit statuses are listed in docs/OPERATORS.md.
     """
 
     def __init__(self):
@@ -165,14 +165,14 @@
         Args:
             file: INI or JSON; see docs/OPERATORS.md
             wait: seconds to wait until the change is in force at every entry
-            dry_run: say what would change, and change nothing
+            dry_run: show what would change without changing anything
             json: print JSON
         """
         options = read_options(wait, dry_run, json)
         return ApplyRequest(read_text("--file", file), None, options)
 
     def diff(self, file, *, json="False"):
-        """Compare a file with the platform; exit status 0 even if they differ.
+        """Compare a file with the platform; the exit status is 0 even if they differ.
 
         Args:
             file: INI or JSON; see docs/OPERATORS.md
@@ -192,12 +192,12 @@
         """Print the whole state of one entry as JSON.
 
         Args:
-            entry: its name or its IP address
+            entry: the name or IP address of the entry
         """
         return DumpRequest(read_text("--entry", entry))
 
     def check(self, settings):
-        """Check a settings file of kumquat-ctl and tell every mistake.
+        """Validate a settings file of kumquat-ctl and print every error.
 
         Args:
             settings: the INI file
@@ -205,13 +205,13 @@
         return CheckRequest(read_text("--settings", settings))
 
     def explain(self, log, *, flow="", target="", second=""):
-        """Tell from the log of entries why a flow failed, or all that failed.
+        """Explain from the logs of entries why one flow, or every flow, failed.
 
         Args:
-            log: a file with the lines of one or more entries
-            flow: a flow as in the log, or its caller's address and port
-            target: a target, to tell what entries have seen of it
-            second: a time as in the log, to tell all that happened within it
+            log: a file with the log lines of one or more entries
+            flow: a flow as written in the log, or its caller's address and port
+            target: a target, to show what entries logged about it
+            second: a time as in the log, to show all events of that second
         """
         words = {"--flow": flow, "--target": target}
         flow, target = (
@@ -221,17 +221,17 @@
         return ExplainRequest(read_text("--log", log), flow, target, start_time)
 
     def wait(self, seconds, *, json="False"):
-        """Wait until what stands now is in force at every entry in reach.
+        """Wait until the current configuration is in force at every reachable entry.
 
         Args:
-            seconds: the longest wait
+            seconds: the maximum time to wait
             json: print JSON
         """
         return WaitRequest(read_wait(seconds), read_switch("--json", json))
 
 
 def read_options(wait, dry_run, json) -> ChangeOptions:
-    """Return the options of a change, each checked."""
+    """Return the validated options of a change."""
     return ChangeOptions(
         dry_run=read_switch("--dry-run", dry_run),
         wait_s=read_wait(wait) if wait else None,
@@ -240,21 +240,21 @@
 
 
 def read_text(flag, value) -> str:
-    """Return an argument; fire gives True for a flag with nothing after it."""
+    """Return a text argument; fire passes True for a flag without a value."""
     if not isinstance(value, str):
-        raise UsageError(f"{flag}: nothing after it; allowed: one value")
+        raise UsageError(f"{flag}: missing value; allowed: one value")
     return value
 
 
 def read_switch(flag, value) -> bool:
-    """Return whether a switch is on; it takes no other value."""
+    """Return whether a switch is set; it accepts no other value."""
     if value not in ("True", "False"):
-        raise UsageError(f"{flag}: found {value!r}; allowed: nothing after it")
+        raise UsageError(f"{flag}: found {value!r}; allowed: no value")
     return value == "True"
 
 
 def read_second(value) -> int:
-    """Return the second that a time of a log is in."""
+    """Return a timestamp of a log, rounded down to a whole second."""
     try:
         return math.floor(float(read_text("--second", value)))
     except (ValueError, OverflowError):
@@ -263,7 +263,7 @@
 
 
 def read_wait(value) -> float:
-    """Return a number of seconds to wait."""
+    """Return the number of seconds to wait."""
     try:
         seconds = float(read_text("--wait", value))
     except ValueError:
--- a/kumquatshift/cli/entries.py
+++ b/kumquatshift/cli/entries.py
@@ -1,4 +1,4 @@
-"""Asking entries, at their admin ports, what they hold."""
+"""Queries the admin ports of entries for versions and state dumps."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class Entry:
-    """An entry as the platform lists it; ``name`` is its address if it does not."""
+    """An entry listed by the platform; ``name`` is the address of an unlisted one."""
 
     name: str
     domain: str
@@ -28,7 +28,7 @@
 
 
 class EntryClient:
-    """Fetches JSON from entries; every answer arrives within two seconds."""
+    """Fetches JSON from entries; every request ends within two seconds."""
 
     def __init__(self, reactor, port: int = ADMIN_PORT, tls: TlsSection = NO_TLS):
         self._reactor = reactor
@@ -37,11 +37,11 @@
         self._http = HTTPClient(entry_agent(reactor, tls))
 
     def versions(self, entry: Entry) -> Deferred:
-        """Give ``Result[Mapping[str, int], Failure]``, versions in force."""
+        """Return ``Result[Mapping[str, int], Failure]``, the versions in force."""
         return self._get(entry, "/versions")
 
     def dump(self, entry: Entry) -> Deferred:
-        """Give ``Result[Mapping[str, object], Failure]``, the whole state."""
+        """Return ``Result[Mapping[str, object], Failure]``, the whole state."""
         return self._get(entry, "/dump")
 
     def _get(self, entry, path):
@@ -53,7 +53,7 @@
 
 
 def query_all(entries, call) -> Deferred:
-    """Give ``{name: Result}`` of one call to every entry at once."""
+    """Return ``{name: Result}`` of one call made to all entries concurrently."""
     fut = gatherResults([call(entry) for entry in entries])
     names = [entry.name for entry in entries]
     return fut.addCallback(lambda answers: dict(zip(names, answers, strict=True)))
@@ -61,17 +61,17 @@
 
 def _read(response):
     if response.code != 200:
-        raise ValueError(f"it answered {response.code}")
+        raise ValueError(f"HTTP status {response.code}")
     return response.json().addCallback(_check)
 
 
 def _check(value):
     if not isinstance(value, Mapping):
-        raise ValueError("its answer is no JSON object")
+        raise ValueError("the response is not a JSON object")
     return Success(value)
 
 
 def _unreachable(reason, entry, url):
-    text = f"entry {entry.name} is out of reach at {url}: {told(reason)}"
-    remedy = "see whether its VM runs, and whether its domain is cut off"
+    text = f"entry {entry.name} is unreachable at {url}: {told(reason)}"
+    remedy = "check that its VM is running and that its domain is reachable"
     return result.Failure(Failure(ErrorKind.UNAVAILABLE, text, remedy))
--- a/kumquatshift/cli/execution.py
+++ b/kumquatshift/cli/execution.py
@@ -1,4 +1,4 @@
-"""Doing what an operator asked for."""
+"""Executes the requests of operators."""
 
 from collections.abc import Sequence
 from functools import partial, singledispatchmethod
@@ -38,7 +38,7 @@
 
 
 class Executor:
-    """Runs one request and prints what came of it."""
+    """Runs one request and prints its result."""
 
     def __init__(
         self,
@@ -58,11 +58,11 @@
         self._writer = Writer(platform, clock, partial(new_operation, env.variables))
 
     def interrupt(self) -> None:
-        """Start no further write and end waits; a write that runs is finished."""
+        """Start no further writes and end waits; a write in progress is completed."""
         self._interrupted = True
 
     async def run(self, request) -> ExitStatus:
-        """Do it, print the answer, and tell a failure on the error stream."""
+        """Execute a request; print its result, or its failure on the error stream."""
         answer = await self._dispatch(request)
         if is_successful(answer):
             return answer.unwrap()
@@ -70,7 +70,7 @@
 
     @singledispatchmethod
     async def _dispatch(self, request) -> Result[ExitStatus, Failure]:
-        raise TypeError(f"no such request: {request!r}")
+        raise TypeError(f"unsupported request: {request!r}")
 
     @_dispatch.register
     async def _(self, request: ListRequest):
@@ -180,7 +180,7 @@
                 return result.Success(self._stdin.read())
             return result.Success(Path(path).read_text(encoding="utf-8"))
         except (OSError, UnicodeDecodeError) as exc:
-            remedy = "name an INI or JSON file of objects"
+            remedy = "give an INI or JSON file of objects"
             failure = Failure(ErrorKind.BAD_INPUT, f"{path}: {exc}", remedy)
             return result.Failure(failure)
 
@@ -212,7 +212,7 @@
         return EXIT_SUCCESS
 
     async def _write_all(self, changes):
-        """Write one after the other up to the first failure."""
+        """Write the changes one by one until the first failure."""
         done, failure = [], None
         for change in changes:
             if change.action == "keep":
@@ -234,7 +234,7 @@
         return done, failure
 
     async def _entries(self) -> Result[tuple[Entry, ...], Failure]:
-        """Return the platform's entries, or those of the settings."""
+        """Return the entries listed by the platform, or else those of the settings."""
         vms = await self._platform.list_vms()
         if _failed(vms) and self._fallback:
             return result.Success(self._fallback)
@@ -271,11 +271,11 @@
             return result.Success(entry)
     names = ", ".join(entry.name for entry in entries) or "none"
     text = f"no entry {wanted!r} is listed"
-    return result.Failure(Failure(ErrorKind.NOT_FOUND, text, f"known: {names}"))
+    return result.Failure(Failure(ErrorKind.NOT_FOUND, text, f"known entries: {names}"))
 
 
 def _removed_failure(obj):
     text = f"{subject(obj.kind, obj.name)} does not exist; it was removed"
     text += f" as version {obj.version} by operation {obj.operation or 'unnamed'}"
-    remedy = f"see the names with: {PROGRAM} {obj.kind} list"
+    remedy = f"list the names with: {PROGRAM} {obj.kind} list"
     return Failure(ErrorKind.NOT_FOUND, text, remedy)
--- a/kumquatshift/cli/explain.py
+++ b/kumquatshift/cli/explain.py
@@ -1,8 +1,8 @@
-"""Tell the story of a flow, a target or a second from the log lines of entries.
+"""Explains what happened to a flow or target, or in a second, from logs of entries.
 
-Log lines are JSON objects; what stands before the first brace of a line, such
-as what a collector adds, is passed over. The cause is named only where lines
-show it; else the answer says that they do not.
+Log lines are JSON objects; text before the first brace of a line, such as the
+prefix of a log collector, is ignored. A cause is reported only if log lines show
+it; otherwise the explanation says that they do not.
 """
 
 import json
@@ -10,17 +10,18 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-#: Lines about a target or an entry belong to a flow's story within this time.
+#: Lines about a target or an entry are included in the explanation of a flow if
+#: they are at most this long before its first or after its last line.
 CONTEXT_WINDOW_S = 5.0
 
 _OWN_FIELDS = ("time", "uptime_s", "entry", "event")
 
 _RESET_CAUSES = {
-    "target_silent": "its target stopped to answer, and its flows were given up",
-    "target_gone": "its target had ended and was off the list",
-    "unknown_cookie": "its target was not on the list of the entry that it came to",
-    "no_route": "no route led to the address and port that the caller asked for",
-    "no_target": "no target of the service could take a flow",
+    "target_silent": "its target stopped answering, and its flows were dropped",
+    "target_gone": "its target had terminated and was no longer listed",
+    "unknown_cookie": "its target was not listed at the entry that received it",
+    "no_route": "no route matched the address and port that the caller requested",
+    "no_target": "no target of the service could accept a flow",
 }
 
 
@@ -40,14 +41,14 @@
 
 @dataclass(frozen=True)
 class Explanation:
-    """Lines in the order of their time, and what they come to."""
+    """Log lines in order of time, and the cause that they show."""
 
     lines: tuple[LogLine, ...]
     cause: str
 
 
 def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Read log lines, and pass over what is none."""
+    """Yield the log lines of ``texts``; ignore everything else."""
     for text in texts:
         start = text.find("{")
         if start < 0:
@@ -61,11 +62,13 @@
 
 
 def explain_flow(lines: Iterable[LogLine], flow: str) -> Explanation:
-    """Tell what became of a flow, given as in the log or as its caller's end."""
+    """Explain one flow, given as in the log or by its caller's address and port."""
     lines = _by_time(lines)
     own_lines = [ln for ln in lines if _is_of_flow(ln, flow)]
     if not own_lines:
-        return Explanation((), f"no line names {flow}; it may have met no entry")
+        return Explanation(
+            (), f"no line mentions {flow}; it may not have reached any entry"
+        )
     begin, end = (
         own_lines[0].time - CONTEXT_WINDOW_S,
         own_lines[-1].time + CONTEXT_WINDOW_S,
@@ -86,33 +89,35 @@
 
 
 def explain_target(lines: Iterable[LogLine], target: str) -> Explanation:
-    """Tell what entries have seen of a target, without the flows placed there."""
+    """Summarise the events of a target, except for flows opened to it."""
     own_lines = _by_time(
         line
         for line in lines
         if line.fields.get("target") == target and line.event != "flow opened"
     )
     if not own_lines:
-        return Explanation((), f"no line names {target}")
+        return Explanation((), f"no line mentions {target}")
     counts = Counter(line.event for line in own_lines)
     details = ", ".join(f"{count} {event}" for event, count in counts.items())
     return Explanation(tuple(own_lines), details)
 
 
 def explain_second(lines: Iterable[LogLine], second: int) -> Explanation:
-    """Tell what all entries logged within a second, and how often each event."""
+    """Summarise what all entries logged within one second, with a count per event."""
     own_lines = _by_time(line for line in lines if second <= line.time < second + 1)
     counts = Counter(line.event for line in own_lines)
     details = ", ".join(f"{count} {event}" for event, count in counts.most_common())
-    return Explanation(tuple(own_lines), details or f"no line is of second {second}")
+    return Explanation(
+        tuple(own_lines), details or f"no line falls within second {second}"
+    )
 
 
 def explain_failures(lines: Iterable[LogLine]) -> Explanation:
-    """Tell how many flows were refused, reset or lost packets, by cause.
+    """Count the flows that were refused, reset or lost packets, by cause.
 
-    What was sent to an entry that had died, and what did not fit a log's budget,
-    left no line; how often that happened is told, since the lines can not tell
-    which flows it met.
+    Packets sent to an entry that had crashed, and events beyond the limits of log
+    output, leave no line. The number of such cases is reported, since the lines
+    cannot show which flows were affected.
     """
     lines = _by_time(lines)
     failed = [line for line in lines if line.event in _FAILURES]
@@ -148,17 +153,19 @@
 
 
 def _unlogged_losses(lines: list[LogLine]) -> list[str]:
-    """Return what kept flows from leaving a line."""
+    """Return the reasons why failed flows may be missing from the log."""
     details = []
     restarts = _unclean_restarts(lines).total()
     if restarts:
         details.append(
-            f"{restarts} x entry ended without a stop, and what was sent to it until"
-            " it was back left no line"
+            f"{restarts} x entry terminated without shutting down; packets sent to it"
+            " until it restarted are not logged"
         )
     left_out = [line for line in lines if line.event == "lines left out"]
     if left_out:
-        details.append(f"{len(left_out)} x lines were left out, as logs are bounded")
+        details.append(
+            f"{len(left_out)} x lines were omitted because log output is limited"
+        )
     return details
 
 
@@ -189,12 +196,14 @@
     restarts = _unclean_restarts(context_lines)
     for entry in sorted(entries):
         if restarts[entry]:
-            return f"{entry} ended without a stop: it was killed or lost its power"
-    return "the lines do not tell what became of it after it was placed"
+            return (
+                f"{entry} terminated without shutting down: it was killed or lost power"
+            )
+    return "the log does not show what happened to it after it was placed"
 
 
 def _unclean_restarts(lines: Iterable[LogLine]) -> Counter[str]:
-    """Count how often each entry started again without having stopped."""
+    """Count how often each entry restarted without having shut down."""
     restarts = Counter()
     running = set()
     for line in lines:
--- a/kumquatshift/cli/files.py
+++ b/kumquatshift/cli/files.py
@@ -1,6 +1,6 @@
-"""Files of configuration objects, in INI or JSON, and the same as text.
+"""Reads and writes configuration objects as INI or JSON files.
 
-In INI a section is an object, ``[KIND NAME]``, and its keys are the fields::
+In INI a section ``[KIND NAME]`` is an object, and its keys are the fields::
 
     [target t1]
     service = tills
@@ -8,8 +8,9 @@
     host = 127.0.2.1
     port = 6080
 
-``version`` may be given too: the object is then changed only if that version
-still stands. JSON is what ``list --json`` prints: ``{"items": [...]}``.
+``version`` may be given too: the object is then changed only if that is still
+its current version. The JSON format is what ``list --json`` prints:
+``{"items": [...]}``.
 """
 
 import configparser
@@ -39,8 +40,8 @@
 class DesiredObject:
     """One object of a file.
 
-    ``given`` are the fields that the file names; ``version`` is what must
-    stand, or None if any may.
+    ``specified_fields`` are the fields that the file sets; ``version`` is the
+    required current version, or None if any is accepted.
     """
 
     kind: Kind
@@ -59,16 +60,16 @@
 def read_objects(
     text: str, kind: Kind | None
 ) -> Result[tuple[DesiredObject, ...], Failure]:
-    """Return the objects of a file, or every mistake in it.
+    """Return the objects of a file, or a failure that lists every mistake in it.
 
-    With a ``kind`` the file may hold objects of that kind only.
+    If ``kind`` is given, the file may only contain objects of that kind.
     """
     try:
         raw_objects = _read_json(text) if text.lstrip()[:1] == "{" else _read_ini(text)
     except (ValueError, configparser.Error) as exc:
         message = " ".join(str(exc).split())
         failure = Failure(
-            ErrorKind.BAD_INPUT, message, "mend the file; nothing changed"
+            ErrorKind.BAD_INPUT, message, "fix the file; nothing was changed"
         )
         return result.Failure(failure)
     desired, mistakes = [], []
@@ -88,7 +89,7 @@
 
 
 def to_ini(objects: Sequence[Versioned]) -> str:
-    """Return objects as a file that `read_objects` takes."""
+    """Return the text of a file that `read_objects` accepts."""
     return "\n".join(_section(obj) for obj in objects)
 
 
@@ -187,7 +188,12 @@
         if key in seen:
             subject_name = subject(raw.kind, raw.name)
             mistakes.append(
-                Mistake(subject_name, "name", "it twice", "allowed: once a file")
+                Mistake(
+                    subject_name,
+                    "name",
+                    "a duplicate",
+                    "allowed: each object once per file",
+                )
             )
         seen.add(key)
     return mistakes
--- a/kumquatshift/cli/outcomes.py
+++ b/kumquatshift/cli/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of changes, one by one and as a whole."""
+"""Outcomes of changes, individually and as a whole."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class ChangeResult(StrEnum):
-    """What became of one change, in the word that the operator reads."""
+    """Result of one change, as printed to the operator."""
 
     CREATED = "created"
     CHANGED = "changed"
@@ -38,9 +38,9 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """What became of one change; ``version`` is what stands if it is known.
+    """Outcome of one change; ``version`` is the resulting version, if known.
 
-    ``planned`` tells of a change that was not to be made yet.
+    ``planned`` marks a change of a dry run, which has not been made.
     """
 
     subject: str
@@ -57,12 +57,12 @@
         lines = [f"{would_be}{self.fate} {self.subject}{version}"]
         lines += [f"    {line}" for line in self.differences]
         if self.answer_lost:
-            lines.append("    (an answer was lost; reading back showed this)")
+            lines.append("    (an answer was lost; the object was read back)")
         return "\n".join(lines)
 
 
 def planned(change: Change) -> Outcome:
-    """Return what a change would do."""
+    """Return the outcome that a change would have."""
     fields = _fields(change)
     return Outcome(
         change.subject, RESULT_BY_ACTION[change.action], None, "", fields, planned=True
@@ -83,14 +83,14 @@
 
 
 def not_written(change: Change, failure: Failure | None = None) -> Outcome:
-    """Return the outcome of a write that failed, or was not tried."""
+    """Return the outcome of a write that failed or was not attempted."""
     unknown = failure is not None and failure.kind is ErrorKind.OUTCOME_UNKNOWN
     fate = ChangeResult.PERHAPS_WRITTEN if unknown else ChangeResult.NOT_WRITTEN
     return Outcome(change.subject, fate, differences=_fields(change))
 
 
 def partial(failure: Failure, outcomes: Sequence[Outcome]) -> Failure:
-    """Add to a failure midway which changes were written and which were not."""
+    """Extend a failure with the changes that were written and those that were not."""
     details = [f"written: {_names(outcomes, WRITTEN)}"]
     if any(outcome.fate is ChangeResult.PERHAPS_WRITTEN for outcome in outcomes):
         details.append(
@@ -98,7 +98,7 @@
         )
     details.append(f"not written: {_names(outcomes, (ChangeResult.NOT_WRITTEN,))}")
     text = f"{failure.message}\n" + "; ".join(details)
-    remedy = "run it again once mended: what stands already is kept"
+    remedy = "fix the cause and run the command again; objects already written are kept"
     if failure.remedy:
         remedy = f"{failure.remedy}; {remedy}"
     return Failure(failure.kind, text, remedy)
--- a/kumquatshift/cli/parsing.py
+++ b/kumquatshift/cli/parsing.py
@@ -1,4 +1,4 @@
-"""From the words of a command line to a request and its settings."""
+"""Parses a command line into a request and its settings."""
 
 import contextlib
 import io
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class CommandLine:
-    """A command line split into fire's part and the flags of every command."""
+    """A command line, split into arguments for fire and the global flags."""
 
     words: tuple[str, ...]
     flags: Mapping[str, str]
@@ -48,20 +48,20 @@
 
 
 def split(args: Sequence[str]) -> CommandLine:
-    """Take out the flags of every command, and make the rest plain to fire.
+    """Separate the global flags, and make the other arguments unambiguous to fire.
 
-    Fire reads words as Python values and takes the word after a switch for its
-    value; here each word is quoted and each switch closed.
+    Fire parses arguments as Python literals and takes the argument after a switch
+    as its value. Arguments are therefore quoted, and switches get a value.
     """
     words, flags, remaining = [], {}, list(args)
     while remaining:
         word = remaining.pop(0)
         flag, equals, value = word.partition("=")
         if word == "--":
-            raise UsageError("--: no arguments of that kind")
+            raise UsageError("--: not supported")
         if flag in GLOBAL_FLAGS:
             if not equals and not remaining:
-                raise UsageError(f"{flag}: nothing after it")
+                raise UsageError(f"{flag}: missing value")
             flags[flag] = value if equals else remaining.pop(0)
         elif word in SWITCHES:
             words.append(f"{word}='True'")
@@ -77,18 +77,18 @@
 def load_settings(
     args: Sequence[str], env: Environment
 ) -> Result[CtlSettings, Failure]:
-    """Return the settings that flags, environment and file give.
+    """Return the settings, as given by flags, environment and file.
 
-    The file is that of ``--settings``, or else of the environment. Without one
-    the platform is that of a site on this machine, as `make site` starts it.
-    ``--platform`` goes before all.
+    The file is taken from ``--settings``, or else from the environment. Without a
+    file, the platform is that of a local site, as started by `make site`.
+    ``--platform`` takes precedence over both.
     """
     flags = split(args).flags
     path = flags.get("--settings") or env.variables.get(SETTINGS_VARIABLE)
     loaded = CtlSettings.load(path) if path else CtlSettings.from_text(LOCAL_SETTINGS)
     if not is_successful(loaded):
         lines = [f"{path}: {problem}" for problem in loaded.failure()]
-        return result.Failure(_bad_settings("\n".join(lines), f"mend {path}"))
+        return result.Failure(_bad_settings("\n".join(lines), f"fix {path}"))
     return _with_platform(loaded.unwrap(), flags.get("--platform"))
 
 
@@ -98,11 +98,11 @@
             section = replace(cfg.platform, url=Url().parse(url))
         except ValueError:
             message = f"--platform: found {url!r}; allowed: {Url.allowed}"
-            return result.Failure(_bad_settings(message, "mend --platform"))
+            return result.Failure(_bad_settings(message, "fix --platform"))
         cfg = replace(cfg, platform=section)
     if not cfg.platform.url:
         remedy = "give --platform URL, or set url in the section [platform]"
-        return result.Failure(_bad_settings("no platform is known", remedy))
+        return result.Failure(_bad_settings("no platform URL is configured", remedy))
     return Success(cfg)
 
 
@@ -111,7 +111,7 @@
 
 
 class _HelpShown(Exception):  # noqa: N818
-    """Fire has shown help; there is nothing to do."""
+    """Fire has shown help, and there is no command to run."""
 
 
 def _run_fire(words, env):
--- a/kumquatshift/cli/printing.py
+++ b/kumquatshift/cli/printing.py
@@ -1,4 +1,4 @@
-"""What an operator reads: tables, INI or JSON, and errors with their remedy."""
+"""Prints results as tables, INI or JSON, and errors with their remedy."""
 
 import json
 from collections.abc import Sequence
@@ -17,20 +17,20 @@
 
 
 class Printer:
-    """Writes answers to the standard streams of an environment."""
+    """Writes results to the standard streams of an environment."""
 
     def __init__(self, env: Environment):
         self._env = env
 
     def failure(self, failure: Failure) -> ExitStatus:
-        """Print a failure, its remedy on a line of its own; return its status."""
+        """Print a failure and, on its own line, its remedy; return the exit status."""
         self._env.stderr.write(f"{PROGRAM}: {failure.kind}: {failure.message}\n")
         if failure.remedy:
             self._env.stderr.write(f"  remedy: {failure.remedy}\n")
         return ANSWERS[failure.kind].exit_status
 
     def notes(self, notes: Sequence[str]) -> None:
-        """Print what an operator should know of a change, on the error stream."""
+        """Print the notes on a change to the error stream."""
         for note in notes:
             self._env.stderr.write(f"{PROGRAM}: note: {note}\n")
 
@@ -42,7 +42,7 @@
             self._write(report.object_table(items))
 
     def object(self, obj: Versioned, as_json: bool) -> None:
-        """Print one object, in a form that `apply` takes."""
+        """Print one object, in a format that `apply` accepts."""
         if as_json:
             self.json(object_to_json(obj))
         else:
@@ -58,19 +58,19 @@
     def changes(
         self, outcomes: Sequence[Outcome], waited: WaitReport | None, as_json: bool
     ) -> None:
-        """Print what became of changes, and of the wait for them."""
+        """Print the outcomes of changes and of the wait for them."""
         if as_json:
             wait = {} if waited is None else {"wait": asdict(waited)}
             self.json({"changes": [asdict(outcome) for outcome in outcomes], **wait})
             return
         if not outcomes:
-            self._write("nothing differs\n")
+            self._write("no differences\n")
         self._write("".join(f"{outcome}\n" for outcome in outcomes))
         if waited is not None:
             self.wait(waited, as_json)
 
     def wait(self, waited: WaitReport, as_json: bool) -> None:
-        """Print where versions are in force and where not."""
+        """Print the entries at which the versions are in force, and the others."""
         if as_json:
             self.json({"wait": asdict(waited)})
             return
@@ -78,7 +78,7 @@
         lines += [f"not in force: {late}" for late in waited.behind]
         lines += [f"out of reach: {name}" for name in waited.out_of_reach]
         if not waited.in_force and not waited.behind:
-            lines.append("no entry is in reach; the change waits at the platform")
+            lines.append("no entry is reachable; the change is stored at the platform")
         self._write("".join(f"{line}\n" for line in lines))
 
     def json(self, value: object) -> None:
--- a/kumquatshift/cli/report.py
+++ b/kumquatshift/cli/report.py
@@ -1,4 +1,4 @@
-"""The state of a site, put together from the platform and its entries."""
+"""State of a site, collected from the platform and the entries."""
 
 from collections import Counter
 from collections.abc import Mapping, Sequence
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class DomainRow:
-    """One failure domain; ``flows`` are those that its entries decide for."""
+    """One failure domain; ``flows`` are those whose primary is one of its entries."""
 
     domain: str
     state: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class EntryRow:
-    """One entry; ``behind`` counts objects whose version is not in force."""
+    """One entry; ``behind`` counts the objects whose version is not yet in force."""
 
     entry: str
     domain: str
@@ -45,10 +45,10 @@
 
 @dataclass(frozen=True)
 class TargetRow:
-    """One target; ``share`` is its part of the work of its service.
+    """One target; ``share`` is its fraction of the work sent to its service.
 
-    ``held`` counts the records of its flows at all entries, so a flow counts once
-    for each entry that holds a copy.
+    ``held`` counts the flow records of the target at all entries; a flow counts
+    once for each entry that holds a copy.
     """
 
     target: str
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True)
 class SiteReport:
-    """All rows, and what could not be found out."""
+    """All rows, and the information that is missing."""
 
     version: int | None
     objects: int
@@ -78,7 +78,7 @@
     entries: Sequence[Entry],
     answers: Mapping[str, Result[Mapping, Failure]],
 ) -> SiteReport:
-    """Return the report on what the platform holds and what entries dumped."""
+    """Build the report from the platform's objects and the dumps of entries."""
     version, objects, missing = _read_listing(listing)
     failures = [one.failure() for one in answers.values() if not is_successful(one)]
     dumps = {name: answer.value_or(None) for name, answer in answers.items()}
@@ -117,7 +117,7 @@
 
 
 def object_table(objects: Sequence[Versioned]) -> str:
-    """Return objects of one kind as a table."""
+    """Return a table of objects of one kind."""
     rows = [
         {"name": obj.name, **_columns(obj.body), "version": obj.version}
         for obj in sorted(objects, key=lambda obj: obj.name)
@@ -195,12 +195,12 @@
 
 
 def _read_listing(listing):
-    """Return version, objects, and what could not be read."""
+    """Return the version, the objects, and messages on unreadable objects."""
     if not is_successful(listing):
         return None, (), [str(listing.failure())]
     found = listing.unwrap()
     missing = [
-        f"{subject(*key)} cannot be read; is kumquat-ctl too old for it?"
+        f"{subject(*key)} cannot be read; this version of kumquat-ctl may be too old"
         for key in found.skipped
     ]
     return found.version, found.items, missing
--- a/kumquatshift/cli/requests.py
+++ b/kumquatshift/cli/requests.py
@@ -1,4 +1,4 @@
-"""What an operator asked for, as typed values; nothing has been done yet."""
+"""Requests of operators, as typed values that have not been executed yet."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class ChangeOptions:
-    """How a change is made; ``wait_s`` is None if it is not waited for."""
+    """Options of a change; ``wait_s`` is None to return without waiting."""
 
     dry_run: bool = False
     wait_s: float | None = None
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class ListRequest:
-    """All objects of one kind."""
+    """List all objects of one kind."""
 
     kind: Kind
     as_json: bool = False
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class ShowRequest:
-    """One object."""
+    """Show one object."""
 
     kind: Kind
     name: str
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True)
 class ApplyRequest:
-    """Make the objects of a file stand; ``kind`` bounds what it may hold."""
+    """Create or change the objects of a file; with ``kind``, all must be of it."""
 
     path: str
     kind: Kind | None
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True)
 class StateRequest:
-    """Give a target or a domain another state."""
+    """Change the state of a target or a domain."""
 
     kind: Kind
     name: str
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True)
 class DiffRequest:
-    """What `ApplyRequest` would change."""
+    """Show what `ApplyRequest` would change."""
 
     path: str
     as_json: bool = False
@@ -69,31 +69,31 @@
 
 @dataclass(frozen=True)
 class StatusRequest:
-    """The whole site at a glance."""
+    """Show the state of the whole site."""
 
     as_json: bool = False
 
 
 @dataclass(frozen=True)
 class DumpRequest:
-    """The whole state of one entry."""
+    """Print the whole state of one entry."""
 
     entry: str
 
 
 @dataclass(frozen=True)
 class CheckRequest:
-    """Whether a settings file of the command line is good."""
+    """Validate a settings file of kumquat-ctl."""
 
     path: str
 
 
 @dataclass(frozen=True)
 class ExplainRequest:
-    """The story of a flow, a target, a second or all failures, from log files.
+    """Explain a flow, a target, a second or all failures, from a log file.
 
-    Without a flow, a target and a second it is that of all failures. ``second``
-    is when it begins, in seconds since 1970 as in the log.
+    Without a flow, target or second, all failures are explained. ``second`` is in
+    seconds since 1970, as in the log.
     """
 
     path: str
@@ -104,7 +104,7 @@
 
 @dataclass(frozen=True)
 class WaitRequest:
-    """Wait until the configuration that stands now is in force everywhere."""
+    """Wait until the current configuration is in force at all reachable entries."""
 
     seconds: float
     as_json: bool = False
--- a/kumquatshift/cli/waiting.py
+++ b/kumquatshift/cli/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting until versions are in force at every entry in reach."""
+"""Waits until versions are in force at every reachable entry."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class RequiredVersion:
-    """A version that must be in force; ``gone`` for that of a deletion."""
+    """A version that must be in force; ``deleted`` if it deletes the object."""
 
     version: int
     deleted: bool = False
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class StaleVersion:
-    """An entry in reach that still holds an older version."""
+    """An older version that a reachable entry still holds."""
 
     entry: str
     subject: str
@@ -40,12 +40,12 @@
 
     def __str__(self):
         found = f"version {self.found}" if self.found else "nothing"
-        return f"{self.entry} holds {found} of {self.subject}, not {self.wanted}"
+        return f"{self.entry} holds {found} of {self.subject}, expected {self.wanted}"
 
 
 @dataclass(frozen=True)
 class WaitReport:
-    """Where the versions are in force, where not, and who could not be asked."""
+    """Entries that have the versions in force, that have not, and the unreachable."""
 
     in_force: tuple[str, ...] = ()
     behind: tuple[StaleVersion, ...] = ()
@@ -53,14 +53,14 @@
 
     @property
     def status(self) -> ExitStatus:
-        """The exit status that fits."""
+        """The exit status for this result."""
         if self.behind:
             return ExitStatus.TIMEOUT
         return ExitStatus.SUCCESS if self.in_force else ExitStatus.UNAVAILABLE
 
 
 def required_versions(objects: Sequence[Versioned]) -> dict[str, RequiredVersion]:
-    """Return what must be in force for these objects to be."""
+    """Return the versions that must be in force, by subject."""
     return {
         subject(obj.kind, obj.name): RequiredVersion(obj.version, obj.body is None)
         for obj in objects
@@ -71,7 +71,7 @@
     wanted: Mapping[str, RequiredVersion],
     answers: Mapping[str, Mapping[str, int] | None],
 ) -> WaitReport:
-    """Return the report for one answer, or None, of each entry."""
+    """Return the report on one answer per entry, None for an entry without one."""
     in_force, behind, out = [], [], []
     for entry, found in sorted(answers.items()):
         if found is None:
@@ -96,10 +96,10 @@
     timeout_s: float,
     interrupted: Callable[[], bool] = lambda: False,
 ) -> WaitReport:
-    """Ask the entries until all in reach have the versions in force.
+    """Poll the entries until all reachable ones have the versions in force.
 
-    An entry that gives no answer is asked three times in a row before the wait
-    ends without it.
+    An entry that does not answer three times in a row counts as unreachable, and
+    the wait ends without it.
     """
     deadline = clock.seconds() + timeout_s
     misses = dict.fromkeys([entry.name for entry in entries], 0)
--- a/kumquatshift/cli/writer.py
+++ b/kumquatshift/cli/writer.py
@@ -1,4 +1,4 @@
-"""Conditional writes that know, after a lost answer, whether they took effect."""
+"""Conditional writes whose outcome is determined even if the answer is lost."""
 
 import re
 import uuid
@@ -23,14 +23,14 @@
 HISTORY_TIMEOUT_S = 6.0
 OWN_WRITE_UNKNOWN = "whether your own write took effect first is unknown"
 OWN_WRITE_PENDING = (
-    "your own write has not taken effect, but if it is still on its way, and the"
-    " object is removed, it may"
+    "your write has not taken effect, but may still do so if the request is delayed"
+    " and the object is removed"
 )
 UNKNOWN_OUTCOME_KINDS = (ErrorKind.OUTCOME_UNKNOWN, ErrorKind.TIMEOUT)
 
 
 def new_operation(variables: Mapping[str, str]) -> str:
-    """Return a fresh operation id that begins with the operator's name."""
+    """Return a new operation id that begins with the operator's name."""
     names = [variables[key] for key in OPERATOR_VARIABLES if variables.get(key)]
     operator = re.sub(r"[^A-Za-z0-9._-]", "", names[0])[:32] if names else ""
     return f"{operator or 'operator'}-{uuid.uuid4().hex[:12]}"
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class WriteResult:
-    """A write that took effect; ``answer_lost`` if only reading back told so."""
+    """A write that took effect; ``answer_lost`` if only a read-back showed it."""
 
     version: int
     operation: str
@@ -46,10 +46,10 @@
 
 
 class Writer:
-    """Writes changes, each under the version that was read and an id of its own.
+    """Writes changes, each conditional on the version read, with a unique id.
 
-    Sending a conditional write again is harmless: it takes effect once at most,
-    and a conflict with its own id shows that it did before.
+    Repeating a conditional write is safe: it takes effect at most once, and a
+    conflict with its own operation id shows that it already has.
     """
 
     def __init__(self, platform: Platform, clock, make_operation: Callable[[], str]):
@@ -58,7 +58,7 @@
         self._make_operation = make_operation
 
     async def write(self, change: Change) -> Result[WriteResult, Failure]:
-        """Write one change, or say why not; never an overwrite of another's."""
+        """Write one change, or return why it failed; never overwrite another write."""
         operation = self._make_operation()
         answer = await self._send(change, operation)
         if is_successful(answer):
@@ -71,7 +71,7 @@
         return result.Failure(failure)
 
     async def _resolve_outcome(self, change, operation):
-        """Find out what became of a write whose answer was lost."""
+        """Determine the outcome of a write whose answer was lost."""
         for _ in range(READ_BACK_TRIES):
             await deferLater(self._clock, READ_BACK_WAIT_S)
             answer = await self._read_back(change, operation)
@@ -90,7 +90,7 @@
         return self._platform.write_object(change.after, change.version, operation)
 
     async def _read_back(self, change, operation):
-        """Return our own write if it stands; else send it again."""
+        """Return our write if it is the current version; otherwise send it again."""
         found = await self._platform.read_object(change.kind, change.name)
         if is_successful(found) and found.unwrap().operation == operation:
             return found
@@ -99,7 +99,7 @@
         return await self._send(change, operation)
 
     async def _resolve_conflict(self, change, operation, standing):
-        """Tell a conflict with another's write from one with our own."""
+        """Distinguish a conflict with another write from one with our own."""
         if standing is not None and standing.operation == operation:
             return Success(WriteResult(standing.version, operation, True))
         up_to_version = standing.version if standing else 0
@@ -110,7 +110,7 @@
         return result.Failure(conflict(change, standing, own_write))
 
     async def _find_in_history(self, change, operation, up_to_version):
-        """Say whether our write is among the changes since what we read."""
+        """Return a message on whether our write is among the changes since our read."""
         done = Deferred()
 
         def on_event(event):
@@ -137,17 +137,18 @@
 def conflict(
     change: Change, standing: Versioned | None, own_write: str = "nothing was written"
 ) -> Conflict:
-    """Return a conflict that names the other's change, field by field."""
+    """Return a conflict that describes the other write, field by field."""
     text = f"{change.subject}: {_describe_change(change, standing)}; {own_write}"
-    remedy = f"look at it with: kumquat-ctl {change.kind} show {change.name}"
+    remedy = f"show it with: kumquat-ctl {change.kind} show {change.name}"
     return Conflict(ErrorKind.CONFLICT, text, remedy, standing)
 
 
 def _own_write_missing(change):
-    """Say that our write is not among the changes made so far.
+    """Return a message that our write is not among the changes so far.
 
-    A change under a version that is past can no longer take effect. A creation
-    asks only that nothing stands, which comes true again with a removal.
+    A change that requires an outdated version can no longer take effect. A creation
+    only requires that the object does not exist, which is true again once the
+    object is removed.
     """
     return "your write did not take effect" if change.version else OWN_WRITE_PENDING
 
@@ -170,7 +171,7 @@
         f"{change.subject}: whether the write took effect is unknown;"
         f" the platform did not answer. Its operation id is {operation}"
     )
-    remedy = f"later see: kumquat-ctl {change.kind} show {change.name}"
+    remedy = f"check later with: kumquat-ctl {change.kind} show {change.name}"
     return Failure(ErrorKind.OUTCOME_UNKNOWN, text, remedy)
 
 
--- a/kumquatshift/programs/__init__.py
+++ b/kumquatshift/programs/__init__.py
@@ -1,1 +1,1 @@
-"""The programs that users start, one module each."""
+"""The executable programs, one module each."""
--- a/kumquatshift/programs/bench.py
+++ b/kumquatshift/programs/bench.py
@@ -1,4 +1,4 @@
-"""`kumquat-bench`: load on a running system, and the measures of what callers saw."""
+"""`kumquat-bench`: generates load and reports what callers observed."""
 
 import asyncio
 import json
@@ -21,16 +21,16 @@
 
 
 class BenchCommand:
-    """Runs the load that an INI file describes, and prints the measures."""
+    """Generates the load described by an INI file, and prints the measures."""
 
     def __init__(self, env: Environment):
         self._env = env
 
     def run(self, settings, json=None, check=False):
-        """Run the load of the file SETTINGS; write the figures to the file JSON.
+        """Generate the load of the file SETTINGS; write the figures to the file JSON.
 
-        The exit status is 0 only if nothing was seen that must not happen. With
-        --check nothing is run and every mistake of the file is told.
+        The exit status is 0 only if no rule was broken. With --check, the settings
+        are only validated, and every error in the file is printed.
         """
         if check:
             return check_settings(BenchSettings, settings, self._env)
@@ -60,7 +60,7 @@
 
 
 def run_bench(settings, reactor):
-    """Run the reactor until the load is over; return the report, or None."""
+    """Run the reactor until the load ends; return the report, or None if it failed."""
     reports = []
 
     async def run_load():
@@ -70,7 +70,7 @@
     def begin():
         running = defer.Deferred.fromFuture(asyncio.ensure_future(run_load()))
         running.addErrback(
-            lambda failure: log.error("The run failed: {}.", failure.getTraceback())
+            lambda failure: log.error("Load run failed: {}.", failure.getTraceback())
         )
         running.addBoth(lambda _: reactor.stop())
 
@@ -80,7 +80,7 @@
 
 
 def main(args, env: Environment) -> ExitStatus:
-    """Run the load tool."""
+    """Run the load generator."""
     command = BenchCommand(env)
     return fire.Fire(
         command.run, command=args, name="kumquat-bench", serialize=lambda _: None
@@ -88,5 +88,5 @@
 
 
 def run() -> None:
-    """Run with the arguments of the process; the console script's entry."""
+    """Run with the arguments of the process; entry point of the console script."""
     sys.exit(main(sys.argv[1:], Environment()))
--- a/kumquatshift/programs/ctl.py
+++ b/kumquatshift/programs/ctl.py
@@ -1,4 +1,4 @@
-"""kumquat-ctl: the operators' command line."""
+"""`kumquat-ctl`: the command-line client for operators."""
 
 import sys
 from collections.abc import Sequence
@@ -29,12 +29,12 @@
 
 
 def run() -> None:
-    """Start from the shell."""
+    """Run with the arguments of the process; entry point of the console script."""
     sys.exit(core.main(["ctl", *sys.argv[1:]], Environment()))
 
 
 def main(args: Sequence[str], env: Environment) -> ExitStatus:
-    """Run one command in a reactor of its own, and return its exit status."""
+    """Run one command in its own reactor, and return its exit status."""
     from twisted.internet import reactor  # noqa: PLC0415 (importing installs it)
 
     logs.setup(LogLevel.WARNING, LogFormat.HUMAN, env.stderr)
@@ -46,7 +46,7 @@
 
 
 def execute(args: Sequence[str], env: Environment, reactor) -> Deferred:
-    """Give the exit status of one command, run in a reactor that runs already."""
+    """Run one command in a running reactor; the result is its exit status."""
     prepared = prepare(args, env, reactor)
     if isinstance(prepared, ExitStatus):
         return maybeDeferred(lambda: prepared)
@@ -55,7 +55,7 @@
 
 
 def prepare(args: Sequence[str], env: Environment, reactor):
-    """Return what runs the command and the command, or a status if it cannot run."""
+    """Return an executor and a request, or an exit status if none is to be run."""
     request = parse(args, env)
     if request is None:
         return ExitStatus.SUCCESS
@@ -76,7 +76,7 @@
 
 
 def explain(request: ExplainRequest, env: Environment) -> ExitStatus:
-    """Print the story that a log tells; needs no site to be reached."""
+    """Print the explanation found in a log file; requires no connection to a site."""
     try:
         with open(request.path, encoding="utf-8", errors="replace") as file:
             lines = list(read_lines(file))
@@ -104,8 +104,8 @@
         fut = Deferred.fromCoroutine(executor.run(request))
         fut.addCallbacks(statuses.append, failed)
         fut.addBoth(lambda _: reactor.running and reactor.stop())
-        # An interrupt lets the write that runs come to its end, so that the
-        # operator learns what was written.
+        # On an interrupt, let the write in progress complete, so that the operator
+        # learns what was written.
         reactor.addSystemEventTrigger("before", "shutdown", interrupt, fut)
 
     def interrupt(fut):
--- a/kumquatshift/programs/entry.py
+++ b/kumquatshift/programs/entry.py
@@ -1,4 +1,4 @@
-"""`kumquat-entry`: takes packets from the fabric, decides, forwards."""
+"""`kumquat-entry`: receives packets from the fabric and forwards them."""
 
 import asyncio
 import random
@@ -24,21 +24,23 @@
 from ..status import ExitStatus
 from .loop import install_reactor
 
+# Fraction of `control_bytes_per_s` available to the background copy of records.
 COPY_BUDGET_SHARE = 0.6
 
 log = logs.logger_for(logs.Part.ENTRY)
 
 
 class EntryCommand:
-    """Takes packets from the fabric, decides for each flow, and forwards."""
+    """Receives packets from the fabric, selects a target per flow, and forwards."""
 
     def __init__(self, env: Environment):
         self._env = env
 
     def run(self, settings, check=False):
-        """Run one entry until SIGTERM or SIGINT; it hands its flows over then.
+        """Run one entry until SIGTERM or SIGINT, then hand over its flows.
 
-        With --check it starts nothing and tells every mistake of the file.
+        With --check, the settings are only validated, and every error in the file
+        is printed.
         """
         if check:
             return check_settings(EntrySettings, settings, self._env)
@@ -52,9 +54,9 @@
 
 
 def run_entry(cfg: EntrySettings) -> ExitStatus:
-    """Run one entry until it is told to leave and has left.
+    """Run one entry until it is stopped and has left the cluster.
 
-    The status is UNAVAILABLE if a port can not be opened.
+    The status is UNAVAILABLE if a port cannot be opened.
     """
     reactor = install_reactor()
     engine = EntryEngine.from_config(
@@ -74,7 +76,7 @@
                 "during", "shutdown", _stop, control, fut.result()
             )
             return
-        log.error("It cannot start: {}.", fut.exception())
+        log.error("Cannot start: {}.", fut.exception())
         failures.append(fut.exception())
         reactor.callWhenRunning(reactor.stop)
 
@@ -84,9 +86,9 @@
 
 
 async def _open_ports(cfg, driver, reactor):
-    """Open all ports: control first, since peers call as soon as they hear us.
+    """Open all ports: control first, since peers call as soon as they hear from us.
 
-    The admin port comes last; once it answers, all others are open.
+    The admin port is opened last, so once it answers, all others are open.
     """
     entry = cfg.entry
     control_endpoint = f"{entry.address}:{entry.control_port}"
@@ -100,7 +102,7 @@
 
 
 def engine_config(cfg: EntrySettings) -> EntryConfig:
-    """Return what the engine needs of an entry's settings."""
+    """Return the engine's configuration from the settings of an entry."""
     own_vm = Vm(cfg.entry.name, cfg.entry.domain, cfg.entry.address)
     peers = [Vm(peer.name, peer.domain, peer.address) for peer in cfg.peers.members]
     timers = MemberTimers(
@@ -125,7 +127,7 @@
 
 
 def main(args: list[str], env: Environment) -> ExitStatus:
-    """Run the program with the arguments of a command line."""
+    """Run the program with the given command-line arguments."""
     command = EntryCommand(env)
     return fire.Fire(
         command.run, command=args, name="kumquat-entry", serialize=lambda _: None
@@ -133,5 +135,5 @@
 
 
 def run() -> None:
-    """Run with the arguments of the process; the console script's entry."""
+    """Run with the arguments of the process; entry point of the console script."""
     sys.exit(main(sys.argv[1:], Environment()))
--- a/kumquatshift/programs/loop.py
+++ b/kumquatshift/programs/loop.py
@@ -1,4 +1,4 @@
-"""The one event loop of a program."""
+"""The single event loop of a program."""
 
 import asyncio
 
@@ -9,8 +9,8 @@
 def install_reactor():
     """Install and return Twisted's reactor on a new asyncio loop.
 
-    Twisted, gRPC and aiocoap then share one loop on one thread. Call it once,
-    before anything else asks Twisted for its reactor.
+    Twisted, gRPC and aiocoap then share one loop on one thread. Call this once,
+    before any other code imports Twisted's reactor.
     """
     loop = asyncio.new_event_loop()
     asyncio.set_event_loop(loop)
--- a/kumquatshift/programs/standin.py
+++ b/kumquatshift/programs/standin.py
@@ -1,4 +1,4 @@
-"""`kumquat-standin`: the outside systems, for tests and the demo."""
+"""`kumquat-standin`: stand-ins for external systems, for tests and the demo."""
 
 import sys
 from dataclasses import asdict
@@ -25,7 +25,8 @@
 class Commands:
     """Stand-ins for the systems around kumquatshift; each takes an INI file.
 
-    With --check nothing is started and every mistake of the file is told.
+    With --check, the settings are only validated, and every error in the file is
+    printed.
     """
 
     def __init__(self, env: Environment):
@@ -37,7 +38,7 @@
         return self._run(PlatformStandinSettings, settings, check, serve_platform)
 
     def fabric(self, settings, check=False):
-        """Run the fabric that hands packets to entries, until SIGTERM or SIGINT."""
+        """Run the fabric that delivers packets to entries, until SIGTERM or SIGINT."""
         return self._run(FabricStandinSettings, settings, check, fabric.serve)
 
     def target(self, settings, check=False):
@@ -56,14 +57,14 @@
         try:
             serve(cfg, reactor)
         except CannotListenError as exc:
-            log.error("It cannot start: {}.", exc)
+            log.error("Cannot start: {}.", exc)
             return ExitStatus.UNAVAILABLE
         reactor.run()
         return self._status
 
     def _serve_target(self, cfg, reactor):
         def fail(failure):
-            log.error("It cannot start: {}.", failure.getErrorMessage())
+            log.error("Cannot start: {}.", failure.getErrorMessage())
             self._status = ExitStatus.UNAVAILABLE
             reactor.stop()
 
@@ -78,12 +79,12 @@
 
 
 def main(args, env: Environment) -> ExitStatus:
-    """Run one stand-in until it is told to end."""
+    """Run one stand-in until it is stopped."""
     return fire.Fire(
         Commands(env), command=args, name="kumquat-standin", serialize=lambda _: None
     )
 
 
 def run() -> None:
-    """Run with the arguments of the process; the console script's entry."""
+    """Run with the arguments of the process; entry point of the console script."""
     sys.exit(main(sys.argv[1:], Environment()))
--- a/tests/features/ctl.feature
+++ b/tests/features/ctl.feature
@@ -11,19 +11,19 @@
       | target retire t1 --wiat 5          | Could not consume arg: --wiat          |
       | target retire t1 t2                | Could not consume arg: 't2'            |
       | target retire                      | no value for the required argument     |
-      | target retire t1 --wait            | --wait: nothing after it               |
+      | target retire t1 --wait            | --wait: missing value                  |
       | target retire t1 --wait soon       | --wait: found 'soon'; allowed: seconds |
       | target retire t1 --wait=-1         | --wait: found '-1'; allowed: seconds   |
       | target retire t1 --wait nan        | --wait: found 'nan'; allowed: seconds  |
       | target retire t1 --json=maybe      | --json: found 'maybe'                  |
-      | target retire t1 -- --interactive  | --: no arguments of that kind          |
+      | target retire t1 -- --interactive  | --: not supported                      |
       | target retire t1 list              | Could not consume arg: list            |
-      | target retire --name               | --name: nothing after it               |
+      | target retire --name               | --name: missing value                  |
       | target retyre t1                   | Could not consume arg: 'retyre'        |
       | target                             | target: a command is missing           |
       | tarket retire t1                   | Could not consume arg: 'tarket'        |
       | domain retire north-a              | Could not consume arg: retire          |
-      | --settings                         | --settings: nothing after it           |
+      | --settings                         | --settings: missing value              |
 
   Scenario Outline: Help and lists are shown: <line>
     Given a site with the demo's objects
@@ -52,7 +52,7 @@
     Examples:
       | line                 | status    | told                                         |
       | target retire t99    | NOT_FOUND | target/t99 does not exist                    |
-      | domain out north-e   | NOT_FOUND | see the names with: kumquat-ctl domain list  |
+      | domain out north-e   | NOT_FOUND | list the names with: kumquat-ctl domain list |
       | profile show gone    | NOT_FOUND | it was removed as version                    |
       | profile remove web   | REFUSED   | service/web still name it                    |
       | dump e9              | NOT_FOUND | no entry 'e9' is listed                      |
@@ -95,7 +95,7 @@
     When kumquat-ctl runs "apply extras/demo/objects.ini"
     Then kumquat-ctl ends with SUCCESS and the platform holds 23 objects
     When kumquat-ctl runs "diff extras/demo/objects.ini"
-    Then kumquat-ctl ends with SUCCESS and the output says "nothing differs"
+    Then kumquat-ctl ends with SUCCESS and the output says "no differences"
     When kumquat-ctl runs "apply extras/demo/objects.ini"
     Then kumquat-ctl ends with SUCCESS and the platform stands at version 23
 
@@ -253,7 +253,7 @@
       | follows, down                | 5     | SUCCESS     | out of reach: e2                          |
       | follows, stuck               | 0.6   | TIMEOUT     | not in force: e2 holds version            |
       | stuck, down                  | 0.6   | TIMEOUT     | out of reach: e2                          |
-      | down, down                   | 5     | UNAVAILABLE | no entry is in reach                      |
+      | down, down                   | 5     | UNAVAILABLE | no entry is reachable                     |
       | follows, silent              | 0.6   | SUCCESS     | out of reach: e2                          |
 
   Scenario: Waiting for what stands already
--- a/tests/features/entry.feature
+++ b/tests/features/entry.feature
@@ -4,7 +4,7 @@
     Given an entry's settings at 127.15.0.<host>
     And port <port> of 127.15.0.<host> is taken over <protocol>
     When the entry is started
-    Then the entry ends with status 6 and tells "It cannot start"
+    Then the entry ends with status 6 and tells "Cannot start"
 
     Examples:
       | host | port | protocol |
--- a/tests/features/explain.feature
+++ b/tests/features/explain.feature
@@ -7,21 +7,21 @@
 
     Examples:
       | story                                          | cause                                   |
-      | the flow is reset for a silent target          | its target stopped to answer            |
-      | the flow is reset for a target that has ended  | its target had ended                    |
-      | the flow is refused for want of a target       | no target of the service could take     |
-      | the flow is refused for want of a route        | no route led to the address and port    |
+      | the flow is reset for a silent target          | its target stopped answering            |
+      | the flow is reset for a target that has ended  | its target had terminated               |
+      | the flow is refused for want of a target       | no target of the service could accept   |
+      | the flow is refused for want of a route        | no route matched the address and port   |
       | the target falls silent after the flow opened  | target suspected: i-7                   |
-      | the entry dies after the flow opened           | it was killed or lost its power         |
+      | the entry dies after the flow opened           | it was killed or lost power             |
       | a packet of the flow is dropped                | its last packet was dropped by e1       |
-      | nothing more is told of the flow               | the lines do not tell                   |
-      | other flows alone are told of                  | no line names 100.64.0.7:1031           |
+      | nothing more is told of the flow               | the log does not show                   |
+      | other flows alone are told of                  | no line mentions 100.64.0.7:1031        |
 
   Scenario: What is no log line is passed over
     Given a log in which the flow is reset for a silent target
     And the log holds other text, broken lines and a collector's prefixes
     When kumquat-ctl explains the flow 100.64.0.7:1031
-    Then the explanation says "its target stopped to answer"
+    Then the explanation says "its target stopped answering"
 
   Scenario Outline: All failures are counted by cause, and what left no line is told
     Given a log in which <story>
@@ -31,8 +31,8 @@
     Examples:
       | story                                    | said                                    |
       | the flow is reset for a silent target    | 1 x flow reset (target_silent)          |
-      | the entry dies after the flow opened     | 1 x entry ended without a stop          |
-      | lines had to be left out                 | 1 x lines were left out                 |
+      | the entry dies after the flow opened     | 1 x entry terminated without shutting down |
+      | lines had to be left out                 | 1 x lines were omitted                  |
       | nothing more is told of the flow         | no flow was refused or reset            |
 
   Scenario: What entries have seen of a target is told in order
@@ -49,7 +49,7 @@
       | second | said                                |
       | 12     | 1 target suspected, 1 flow reset    |
       | 12.7   | 1 target suspected, 1 flow reset    |
-      | 11     | no line is of second 11             |
+      | 11     | no line falls within second 11      |
 
   Scenario Outline: A second that is none is told with what is allowed
     Given a log in which the flow is reset for a silent target
