--- a/kumquatshift/cli/definition.py
+++ b/kumquatshift/cli/definition.py
@@ -150,7 +150,8 @@
     """Operate a kumquatshift site through the platform's objects.
 
     Flags of every command: --settings FILE sets the INI settings file, and
-    --platform URL overrides its URL. Exit statuses are listed in docs/OPERATORS.md.
+    --platform URL overrides its platform URL. Exit statuses are listed in
+    docs/OPERATORS.md.
     """
 
     def __init__(self):
@@ -205,7 +206,7 @@
         return CheckRequest(read_text("--settings", settings))
 
     def explain(self, log, *, flow="", target="", second=""):
-        """Explain from the logs of entries why one flow, or every flow, failed.
+        """Explain failed flows from the logs of entries: one flow, or all of them.
 
         Args:
             log: a file with the log lines of one or more entries
