--- a/kumquatshift/cli/explain.py
+++ b/kumquatshift/cli/explain.py
@@ -1,8 +1,8 @@
-"""Tell the story of a flow, a target or a second from the log lines of entries.
+"""Explains what happened to a flow or target, or in a second, from logs of entries.
 
-Log lines are JSON objects; what stands before the first brace of a line, such
-as what a collector adds, is passed over. The cause is named only where lines
-show it; else the answer says that they do not.
+Log lines are JSON objects; text before the first brace of a line, such as the
+prefix of a log collector, is ignored. A cause is reported only if log lines show
+it; otherwise the explanation says that they do not.
 """
 
 import json
@@ -10,17 +10,18 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-#: Lines about a target or an entry belong to a flow's story within this time.
-AROUND_S = 5.0
+#: Lines about a target or an entry are included in the explanation of a flow if
+#: they are at most this long before its first or after its last line.
+CONTEXT_WINDOW_S = 5.0
 
 _OWN_FIELDS = ("time", "uptime_s", "entry", "event")
 
 _RESET_CAUSES = {
-    "target_silent": "its target stopped to answer, and its flows were given up",
-    "target_gone": "its target had ended and was off the list",
-    "unknown_cookie": "its target was not on the list of the entry that it came to",
-    "no_route": "no route led to the address and port that the caller asked for",
-    "no_target": "no target of the service could take a flow",
+    "target_silent": "its target stopped answering, and its flows were dropped",
+    "target_gone": "its target had terminated and was no longer listed",
+    "unknown_cookie": "its target was not listed at the entry that received it",
+    "no_route": "no route matched the address and port that the caller requested",
+    "no_target": "no target of the service could accept a flow",
 }
 
 
@@ -34,20 +35,20 @@
     fields: dict
 
     def __str__(self):
-        told = " ".join(f"{key}={value}" for key, value in self.fields.items())
-        return f"{self.time:.3f} {self.entry}: {self.event} {told}".rstrip()
+        details = " ".join(f"{key}={value}" for key, value in self.fields.items())
+        return f"{self.time:.3f} {self.entry}: {self.event} {details}".rstrip()
 
 
 @dataclass(frozen=True)
-class Story:
-    """Lines in the order of their time, and what they come to."""
+class Explanation:
+    """Log lines in order of time, and the cause that they show."""
 
     lines: tuple[LogLine, ...]
     cause: str
 
 
 def read_lines(texts: Iterable[str]) -> Iterator[LogLine]:
-    """Read log lines, and pass over what is none."""
+    """Yield the log lines of ``texts``; ignore everything else."""
     for text in texts:
         start = text.find("{")
         if start < 0:
@@ -60,61 +61,72 @@
             continue
 
 
-def explain_flow(lines: Iterable[LogLine], flow: str) -> Story:
-    """Tell what became of a flow, given as in the log or as its caller's end."""
+def explain_flow(lines: Iterable[LogLine], flow: str) -> Explanation:
+    """Explain one flow, given as in the log or by its caller's address and port."""
     lines = _by_time(lines)
-    own = [ln for ln in lines if _is_of_flow(ln, flow)]
-    if not own:
-        return Story((), f"no line names {flow}; it may have met no entry")
-    begin, end = own[0].time - AROUND_S, own[-1].time + AROUND_S
-    targets = {ln.fields[key] for ln in own for key in _TARGET_KEYS if key in ln.fields}
-    entries = {line.entry for line in own}
-    around = [
+    own_lines = [ln for ln in lines if _is_of_flow(ln, flow)]
+    if not own_lines:
+        return Explanation(
+            (), f"no line mentions {flow}; it may not have reached any entry"
+        )
+    begin, end = (
+        own_lines[0].time - CONTEXT_WINDOW_S,
+        own_lines[-1].time + CONTEXT_WINDOW_S,
+    )
+    targets = {
+        ln.fields[key] for ln in own_lines for key in _TARGET_KEYS if key in ln.fields
+    }
+    entries = {line.entry for line in own_lines}
+    context_lines = [
         line
         for line in lines
         if begin <= line.time <= end
-        and (line in own or _is_about(line, targets, entries))
+        and (line in own_lines or _is_context(line, targets, entries))
     ]
-    return Story(tuple(around), _cause(own, around, targets, entries))
+    return Explanation(
+        tuple(context_lines), _cause(own_lines, context_lines, targets, entries)
+    )
 
 
-def explain_target(lines: Iterable[LogLine], target: str) -> Story:
-    """Tell what entries have seen of a target, without the flows placed there."""
-    own = _by_time(
+def explain_target(lines: Iterable[LogLine], target: str) -> Explanation:
+    """Summarise the events of a target, except for flows opened to it."""
+    own_lines = _by_time(
         line
         for line in lines
         if line.fields.get("target") == target and line.event != "flow opened"
     )
-    if not own:
-        return Story((), f"no line names {target}")
-    counts = Counter(line.event for line in own)
-    told = ", ".join(f"{count} {event}" for event, count in counts.items())
-    return Story(tuple(own), told)
-
-
-def explain_second(lines: Iterable[LogLine], second: int) -> Story:
-    """Tell what all entries logged within a second, and how often each event."""
-    own = _by_time(line for line in lines if second <= line.time < second + 1)
-    counts = Counter(line.event for line in own)
-    told = ", ".join(f"{count} {event}" for event, count in counts.most_common())
-    return Story(tuple(own), told or f"no line is of second {second}")
+    if not own_lines:
+        return Explanation((), f"no line mentions {target}")
+    counts = Counter(line.event for line in own_lines)
+    details = ", ".join(f"{count} {event}" for event, count in counts.items())
+    return Explanation(tuple(own_lines), details)
+
+
+def explain_second(lines: Iterable[LogLine], second: int) -> Explanation:
+    """Summarise what all entries logged within one second, with a count per event."""
+    own_lines = _by_time(line for line in lines if second <= line.time < second + 1)
+    counts = Counter(line.event for line in own_lines)
+    details = ", ".join(f"{count} {event}" for event, count in counts.most_common())
+    return Explanation(
+        tuple(own_lines), details or f"no line falls within second {second}"
+    )
 
 
-def explain_failures(lines: Iterable[LogLine]) -> Story:
-    """Tell how many flows were refused, reset or lost packets, by cause.
+def explain_failures(lines: Iterable[LogLine]) -> Explanation:
+    """Count the flows that were refused, reset or lost packets, by cause.
 
-    What was sent to an entry that had died, and what did not fit a log's budget,
-    left no line; how often that happened is told, since the lines can not tell
-    which flows it met.
+    Packets sent to an entry that had crashed, and events beyond the limits of log
+    output, leave no line. The number of such cases is reported, since the lines
+    cannot show which flows were affected.
     """
     lines = _by_time(lines)
     failed = [line for line in lines if line.event in _FAILURES]
     counts = Counter((line.event, line.fields.get("reason", "")) for line in failed)
-    told = [
+    details = [
         f"{count} x {event} ({reason})" for (event, reason), count in counts.items()
     ]
-    told = told or ["no flow was refused or reset, and no packet dropped"]
-    return Story(tuple(failed), "; ".join(told + _untold(lines)))
+    details = details or ["no flow was refused or reset, and no packet dropped"]
+    return Explanation(tuple(failed), "; ".join(details + _unlogged_losses(lines)))
 
 
 _TARGET_KEYS = ("target", "silent")
@@ -140,61 +152,65 @@
     return sorted(lines, key=lambda line: line.time)
 
 
-def _untold(lines: list[LogLine]) -> list[str]:
-    """Return what kept flows from leaving a line."""
-    told = []
-    deaths = _deaths(lines).total()
-    if deaths:
-        told.append(
-            f"{deaths} x entry ended without a stop, and what was sent to it until"
-            " it was back left no line"
+def _unlogged_losses(lines: list[LogLine]) -> list[str]:
+    """Return the reasons why failed flows may be missing from the log."""
+    details = []
+    restarts = _unclean_restarts(lines).total()
+    if restarts:
+        details.append(
+            f"{restarts} x entry terminated without shutting down; packets sent to it"
+            " until it restarted are not logged"
         )
     left_out = [line for line in lines if line.event == "lines left out"]
     if left_out:
-        told.append(f"{len(left_out)} x lines were left out, as logs are bounded")
-    return told
+        details.append(
+            f"{len(left_out)} x lines were omitted because log output is limited"
+        )
+    return details
 
 
 def _is_of_flow(line: LogLine, flow: str) -> bool:
-    named = str(line.fields.get("flow", ""))
-    return named == flow or named.startswith(f"{flow}>")
+    line_flow = str(line.fields.get("flow", ""))
+    return line_flow == flow or line_flow.startswith(f"{flow}>")
 
 
-def _is_about(line: LogLine, targets: set[str], entries: set[str]) -> bool:
+def _is_context(line: LogLine, targets: set[str], entries: set[str]) -> bool:
     if line.event in _TARGET_EVENTS:
         return line.fields.get("target") in targets
     return line.event in _ENTRY_EVENTS and line.entry in entries
 
 
-def _cause(own, around, targets, entries) -> str:
-    last = own[-1]
+def _cause(own_lines, context_lines, targets, entries) -> str:
+    last = own_lines[-1]
     reason = last.fields.get("reason", "")
     if last.event in ("flow reset", "flow refused") and reason in _RESET_CAUSES:
         return f"{last.event}: {_RESET_CAUSES[reason]}"
     if last.event == "packet dropped":
         return f"its last packet was dropped by {last.entry}: {reason}"
-    later = [line for line in around if line.time >= last.time]
-    for line in later:
+    later_lines = [line for line in context_lines if line.time >= last.time]
+    for line in later_lines:
         if line.event in ("target suspected", "target gone"):
             return (
                 f"{line.event}: {line.fields.get('target')} after the flow was placed"
             )
-    deaths = _deaths(around)
+    restarts = _unclean_restarts(context_lines)
     for entry in sorted(entries):
-        if deaths[entry]:
-            return f"{entry} ended without a stop: it was killed or lost its power"
-    return "the lines do not tell what became of it after it was placed"
+        if restarts[entry]:
+            return (
+                f"{entry} terminated without shutting down: it was killed or lost power"
+            )
+    return "the log does not show what happened to it after it was placed"
 
 
-def _deaths(lines: Iterable[LogLine]) -> Counter[str]:
-    """Count how often each entry started again without having stopped."""
-    deaths = Counter()
+def _unclean_restarts(lines: Iterable[LogLine]) -> Counter[str]:
+    """Count how often each entry restarted without having shut down."""
+    restarts = Counter()
     running = set()
     for line in lines:
         if line.event == "stopped":
             running.discard(line.entry)
             continue
         if line.event == "started" and line.entry in running:
-            deaths[line.entry] += 1
+            restarts[line.entry] += 1
         running.add(line.entry)
-    return deaths
+    return restarts
--- a/kumquatshift/cli/outcomes.py
+++ b/kumquatshift/cli/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of changes, one by one and as a whole."""
+"""Outcomes of changes, individually and as a whole."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -6,11 +6,11 @@
 
 from ..errors import ErrorKind, Failure
 from .changes import Change
-from .writer import Written
+from .writer import WriteResult
 
 
-class Fate(StrEnum):
-    """What became of one change, in the word that the operator reads."""
+class ChangeResult(StrEnum):
+    """Result of one change, as printed to the operator."""
 
     CREATED = "created"
     CHANGED = "changed"
@@ -21,25 +21,30 @@
     NOT_WRITTEN = "not written"
 
 
-DONE = {
-    "create": Fate.CREATED,
-    "change": Fate.CHANGED,
-    "confirm": Fate.CONFIRMED,
-    "remove": Fate.REMOVED,
-    "keep": Fate.KEPT,
+RESULT_BY_ACTION = {
+    "create": ChangeResult.CREATED,
+    "change": ChangeResult.CHANGED,
+    "confirm": ChangeResult.CONFIRMED,
+    "remove": ChangeResult.REMOVED,
+    "keep": ChangeResult.KEPT,
 }
-WRITTEN = (Fate.CREATED, Fate.CHANGED, Fate.CONFIRMED, Fate.REMOVED)
+WRITTEN = (
+    ChangeResult.CREATED,
+    ChangeResult.CHANGED,
+    ChangeResult.CONFIRMED,
+    ChangeResult.REMOVED,
+)
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What became of one change; ``version`` is what stands if it is known.
+    """Outcome of one change; ``version`` is the resulting version, if known.
 
-    ``planned`` tells of a change that was not to be made yet.
+    ``planned`` marks a change of a dry run, which has not been made.
     """
 
     subject: str
-    fate: Fate
+    fate: ChangeResult
     version: int | None = None
     operation: str = ""
     differences: tuple[str, ...] = ()
@@ -52,19 +57,21 @@
         lines = [f"{would_be}{self.fate} {self.subject}{version}"]
         lines += [f"    {line}" for line in self.differences]
         if self.answer_lost:
-            lines.append("    (an answer was lost; reading back showed this)")
+            lines.append("    (an answer was lost; the object was read back)")
         return "\n".join(lines)
 
 
 def planned(change: Change) -> Outcome:
-    """Return what a change would do."""
+    """Return the outcome that a change would have."""
     fields = _fields(change)
-    return Outcome(change.subject, DONE[change.action], None, "", fields, planned=True)
+    return Outcome(
+        change.subject, RESULT_BY_ACTION[change.action], None, "", fields, planned=True
+    )
 
 
-def written(change: Change, done: Written) -> Outcome:
+def written(change: Change, done: WriteResult) -> Outcome:
     """Return the outcome of a write that took effect."""
-    fate, fields = DONE[change.action], _fields(change)
+    fate, fields = RESULT_BY_ACTION[change.action], _fields(change)
     return Outcome(
         change.subject, fate, done.version, done.operation, fields, done.answer_lost
     )
@@ -72,31 +79,33 @@
 
 def kept(change: Change) -> Outcome:
     """Return the outcome of a change that needed no write."""
-    return Outcome(change.subject, Fate.KEPT, change.version)
+    return Outcome(change.subject, ChangeResult.KEPT, change.version)
 
 
 def not_written(change: Change, failure: Failure | None = None) -> Outcome:
-    """Return the outcome of a write that failed, or was not tried."""
+    """Return the outcome of a write that failed or was not attempted."""
     unknown = failure is not None and failure.kind is ErrorKind.OUTCOME_UNKNOWN
-    fate = Fate.PERHAPS_WRITTEN if unknown else Fate.NOT_WRITTEN
+    fate = ChangeResult.PERHAPS_WRITTEN if unknown else ChangeResult.NOT_WRITTEN
     return Outcome(change.subject, fate, differences=_fields(change))
 
 
 def partial(failure: Failure, outcomes: Sequence[Outcome]) -> Failure:
-    """Add to a failure midway which changes were written and which were not."""
-    told = [f"written: {_names(outcomes, WRITTEN)}"]
-    if any(outcome.fate is Fate.PERHAPS_WRITTEN for outcome in outcomes):
-        told.append(f"perhaps written: {_names(outcomes, (Fate.PERHAPS_WRITTEN,))}")
-    told.append(f"not written: {_names(outcomes, (Fate.NOT_WRITTEN,))}")
-    text = f"{failure.message}\n" + "; ".join(told)
-    remedy = "run it again once mended: what stands already is kept"
+    """Extend a failure with the changes that were written and those that were not."""
+    details = [f"written: {_names(outcomes, WRITTEN)}"]
+    if any(outcome.fate is ChangeResult.PERHAPS_WRITTEN for outcome in outcomes):
+        details.append(
+            f"perhaps written: {_names(outcomes, (ChangeResult.PERHAPS_WRITTEN,))}"
+        )
+    details.append(f"not written: {_names(outcomes, (ChangeResult.NOT_WRITTEN,))}")
+    text = f"{failure.message}\n" + "; ".join(details)
+    remedy = "fix the cause and run the command again; objects already written are kept"
     if failure.remedy:
         remedy = f"{failure.remedy}; {remedy}"
     return Failure(failure.kind, text, remedy)
 
 
-def _names(outcomes, fates):
-    found = [outcome.subject for outcome in outcomes if outcome.fate in fates]
+def _names(outcomes, results):
+    found = [outcome.subject for outcome in outcomes if outcome.fate in results]
     return ", ".join(found) or "none"
 
 
--- a/kumquatshift/cli/waiting.py
+++ b/kumquatshift/cli/waiting.py
@@ -1,4 +1,4 @@
-"""Waiting until versions are in force at every entry in reach."""
+"""Waits until versions are in force at every reachable entry."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
@@ -9,29 +9,29 @@
 from ..codec import subject
 from ..engine.objects import Versioned
 from ..status import ExitStatus
-from .entries import Entry, ask_all
+from .entries import Entry, query_all
 
 POLL_S = 0.25
-TRIES_OUT_OF_REACH = 3
+MAX_CONSECUTIVE_MISSES = 3
 
 
 @dataclass(frozen=True)
-class Wish:
-    """A version that must be in force; ``gone`` for that of a deletion."""
+class RequiredVersion:
+    """A version that must be in force; ``deleted`` if it deletes the object."""
 
     version: int
-    gone: bool = False
+    deleted: bool = False
 
-    def met_by(self, found: int | None) -> bool:
+    def satisfied_by(self, found: int | None) -> bool:
         """Whether an entry that reports ``found`` has it in force."""
         if found is None:
-            return self.gone
+            return self.deleted
         return found >= self.version
 
 
 @dataclass(frozen=True)
-class Behind:
-    """An entry in reach that still holds an older version."""
+class StaleVersion:
+    """An older version that a reachable entry still holds."""
 
     entry: str
     subject: str
@@ -40,46 +40,47 @@
 
     def __str__(self):
         found = f"version {self.found}" if self.found else "nothing"
-        return f"{self.entry} holds {found} of {self.subject}, not {self.wanted}"
+        return f"{self.entry} holds {found} of {self.subject}, expected {self.wanted}"
 
 
 @dataclass(frozen=True)
 class WaitReport:
-    """Where the versions are in force, where not, and who could not be asked."""
+    """Entries that have the versions in force, that have not, and the unreachable."""
 
     in_force: tuple[str, ...] = ()
-    behind: tuple[Behind, ...] = ()
+    behind: tuple[StaleVersion, ...] = ()
     out_of_reach: tuple[str, ...] = ()
 
     @property
     def status(self) -> ExitStatus:
-        """The exit status that fits."""
+        """The exit status for this result."""
         if self.behind:
             return ExitStatus.TIMEOUT
         return ExitStatus.SUCCESS if self.in_force else ExitStatus.UNAVAILABLE
 
 
-def wishes(objects: Sequence[Versioned]) -> dict[str, Wish]:
-    """Return what must be in force for these objects to be."""
+def required_versions(objects: Sequence[Versioned]) -> dict[str, RequiredVersion]:
+    """Return the versions that must be in force, by subject."""
     return {
-        subject(obj.kind, obj.name): Wish(obj.version, obj.body is None)
+        subject(obj.kind, obj.name): RequiredVersion(obj.version, obj.body is None)
         for obj in objects
     }
 
 
-def judge(
-    wanted: Mapping[str, Wish], answers: Mapping[str, Mapping[str, int] | None]
+def compare_versions(
+    wanted: Mapping[str, RequiredVersion],
+    answers: Mapping[str, Mapping[str, int] | None],
 ) -> WaitReport:
-    """Return the report for one answer, or None, of each entry."""
+    """Return the report on one answer per entry, None for an entry without one."""
     in_force, behind, out = [], [], []
     for entry, found in sorted(answers.items()):
         if found is None:
             out.append(entry)
             continue
         late = [
-            Behind(entry, about, found.get(about), wish.version)
-            for about, wish in wanted.items()
-            if not wish.met_by(found.get(about))
+            StaleVersion(entry, subject_name, found.get(subject_name), required.version)
+            for subject_name, required in wanted.items()
+            if not required.satisfied_by(found.get(subject_name))
         ]
         behind += late
         if not late:
@@ -89,30 +90,32 @@
 
 async def wait_in_force(
     entries: Sequence[Entry],
-    wanted: Mapping[str, Wish],
+    wanted: Mapping[str, RequiredVersion],
     fetch: Callable[[Entry], object],
     clock,
     timeout_s: float,
     interrupted: Callable[[], bool] = lambda: False,
 ) -> WaitReport:
-    """Ask the entries until all in reach have the versions in force.
+    """Poll the entries until all reachable ones have the versions in force.
 
-    An entry that gives no answer is asked three times in a row before the wait
-    ends without it.
+    An entry that does not answer three times in a row counts as unreachable, and
+    the wait ends without it.
     """
     deadline = clock.seconds() + timeout_s
     misses = dict.fromkeys([entry.name for entry in entries], 0)
     while True:
-        answers = await ask_all(entries, fetch)
+        answers = await query_all(entries, fetch)
         found = {
             name: answer.unwrap() if is_successful(answer) else None
             for name, answer in answers.items()
         }
         for name, versions in found.items():
             misses[name] = misses[name] + 1 if versions is None else 0
-        report = judge(wanted, found)
-        settled = all(n == 0 or n >= TRIES_OUT_OF_REACH for n in misses.values())
-        if settled and not report.behind:
+        report = compare_versions(wanted, found)
+        misses_resolved = all(
+            n == 0 or n >= MAX_CONSECUTIVE_MISSES for n in misses.values()
+        )
+        if misses_resolved and not report.behind:
             return report
         if interrupted() or clock.seconds() + POLL_S > deadline:
             return report
