--- a/kumquatshift/engine/allowance.py
+++ b/kumquatshift/engine/allowance.py
@@ -1,40 +1,40 @@
-"""How much one target may be given at once, learnt from its answers.
+"""Adaptive concurrency limit of a target, adjusted by its answers.
 
-A target that has not shown what it bears is cold: it gets one request at a
-time. Good answers raise the allowance up to the target's slots; an answer that
-sheds work halves it; a lost answer or a jump in latency makes the target cold
-again. What endpoints report only breaks ties: answers go before it.
+A target of unproven capacity is cold: its limit is one request in flight.
+Successful answers raise the limit up to the target's slots, a shed request
+halves it, and a lost answer or a jump in latency makes the target cold again.
+Loads that targets report only break ties, since answers are the better evidence.
 """
 
 from dataclasses import dataclass, field
 
 COLD_LIMIT = 1.0
-GROWTH_ANSWERS = 8
+ANSWERS_PER_INCREASE = 8
 WARM_UP_S = 10.0
-LATENCY_LIKE_PEERS = 2.0
-
-#: A warm target has turned cold when so many of its latest answers took more
-#: than `LATENCY_JUMP` times as long as usual. Single slow answers are common
-#: where requests differ.
-LATENCY_JUMP = 3.0
-JUMP_WINDOW = 8
-JUMP_SLOW = 6
-FAST_WEIGHT = 1 / 4
-SLOW_WEIGHT = 1 / 64
+PEER_LATENCY_FACTOR = 2.0
+
+#: A warm target turns cold when `JUMP_SLOW_ANSWERS` of its latest
+#: `JUMP_WINDOW_ANSWERS` answers took more than `LATENCY_JUMP_FACTOR` times the
+#: baseline latency. Single slow answers are common where requests differ.
+LATENCY_JUMP_FACTOR = 3.0
+JUMP_WINDOW_ANSWERS = 8
+JUMP_SLOW_ANSWERS = 6
+LATENCY_WEIGHT = 1 / 4
+BASELINE_WEIGHT = 1 / 64
 PAUSE_MIN_S = 0.5
 PAUSE_MAX_S = 8.0
-HINT_MAX_AGE_S = 3.0
-WORK_HALF_LIFE_S = 30.0
-FAILURES_FOR_PAUSE = 5
-LATENCY_GUESS_S = 0.1
+LOAD_REPORT_MAX_AGE_S = 3.0
+BUSY_HALF_LIFE_S = 30.0
+ERRORS_FOR_PAUSE = 5
+DEFAULT_LATENCY_S = 0.1
 
 
 @dataclass
 class Allowance:
-    """What one target may be given by one decider.
+    """Concurrency limit of one target, as kept by one slot pool.
 
-    ``limit`` is the number of requests in flight that it may have, at most
-    ``ceiling``; ``since`` is the time in seconds at which it was last cold.
+    ``limit`` is the maximum number of requests in flight, at most ``ceiling``;
+    ``since`` is the time in seconds at which the target last turned cold.
     """
 
     ceiling: int
@@ -42,41 +42,41 @@
     limit: float = COLD_LIMIT
     in_flight: dict[str, int] = field(default_factory=dict)
     good_in_row: int = 0
-    failed_in_row: int = 0
-    limit_before_doubt: float = 0.0
+    consecutive_errors: int = 0
+    limit_before_probe: float = 0.0
     latency_s: float = 0.0
     baseline_s: float = 0.0
     samples: int = 0
-    slow: tuple[bool, ...] = ()
+    recent_slow: tuple[bool, ...] = ()
     paused_until: float = 0.0
     pause_s: float = PAUSE_MIN_S
-    work_s: float = 0.0
-    worked_at: float = 0.0
-    foreign: list[float] = field(default_factory=list)
-    heard_at: float = 0.0
-    hint: float = 0.0
-    hinted_at: float = -HINT_MAX_AGE_S
+    busy_s: float = 0.0
+    busy_updated_at: float = 0.0
+    remote_starts: list[float] = field(default_factory=list)
+    last_answer_at: float = 0.0
+    reported_load: float = 0.0
+    load_reported_at: float = -LOAD_REPORT_MAX_AGE_S
 
     @property
     def used(self) -> int:
-        """Requests in flight, of all services."""
+        """Number of requests in flight, of all services."""
         return sum(self.in_flight.values())
 
     @property
     def is_warm(self) -> bool:
-        """Whether the target has shown that it bears all its slots."""
+        """Whether the limit has reached the target's slots."""
         return self.limit >= self.ceiling
 
-    def room(self, service: str, reserved: dict[str, int], now: float) -> bool:
-        """Tell whether ``service`` may take one more slot now.
+    def has_capacity(self, service: str, reserved: dict[str, int], now: float) -> bool:
+        """Return whether ``service`` may take one more slot now.
 
-        ``reserved`` gives the slots kept for each service; work beyond its
-        own reservation competes for what nobody has reserved. While the
-        target is cold nothing is reserved.
+        ``reserved`` maps services to their reserved slots. Requests beyond the
+        reservation of their service compete for the unreserved slots. Until
+        the target is warm, reservations don't apply.
         """
         if now < self.paused_until:
             return False
-        if self.used + self.foreign_used(now) >= int(self.limit):
+        if self.used + self.remote_in_flight(now) >= int(self.limit):
             return False
         if not self.is_warm:
             return True
@@ -84,143 +84,147 @@
         if own < reserved.get(service, 0):
             return True
         shared = int(self.limit) - sum(reserved.values())
-        taken = sum(
+        shared_used = sum(
             max(0, count - reserved.get(name, 0))
             for name, count in self.in_flight.items()
         )
-        return taken < shared
+        return shared_used < shared
 
-    def foreign_used(self, now: float) -> int:
-        """Estimate the requests in flight that another entry sent."""
-        if not self.foreign:
+    def remote_in_flight(self, now: float) -> int:
+        """Estimate the number of requests in flight that other entries sent."""
+        if not self.remote_starts:
             return 0
-        since = now - (self.latency_s or LATENCY_GUESS_S)
-        self.foreign = [at for at in self.foreign if at > since]
-        return len(self.foreign)
+        since = now - (self.latency_s or DEFAULT_LATENCY_S)
+        self.remote_starts = [at for at in self.remote_starts if at > since]
+        return len(self.remote_starts)
 
     def start(self, service: str):
-        """Note that a request goes to the target."""
+        """Record that a request is sent to the target."""
         self.in_flight[service] = self.in_flight.get(service, 0) + 1
 
     def good(self, service: str, latency_s: float, peers_s: float, now: float):
-        """Note an answer; ``peers_s`` is the latency of warm targets, 0 if none."""
-        self._end(service, latency_s, now)
+        """Record a success; `peers_s` is the latency of other warm targets, or 0."""
+        self._finish_request(service, latency_s, now)
         self.pause_s = PAUSE_MIN_S
-        self.failed_in_row = 0
-        if self.limit_before_doubt:
-            self._end_doubt(latency_s)
-        self._learn(latency_s)
-        if self._has_jumped():
+        self.consecutive_errors = 0
+        if self.limit_before_probe:
+            self._end_probe(latency_s)
+        self._update_latency(latency_s)
+        if self._has_latency_jumped():
             self.turn_cold(now)
             return
         self.good_in_row += 1
-        if self.is_warm or self.good_in_row < GROWTH_ANSWERS:
+        if self.is_warm or self.good_in_row < ANSWERS_PER_INCREASE:
             return
         if self._seems_warm(peers_s, now):
             self.limit = min(self.ceiling, self.limit + 1)
             self.good_in_row = 0
 
-    def shed(self, service: str, max_age_s: float, now: float):
-        """Note that the target shed a request; it rests before the next one."""
-        self._end(service, 0.0, now)
+    def record_shed(self, service: str, max_age_s: float, now: float):
+        """Record that the target shed a request, and pause it."""
+        self._finish_request(service, 0.0, now)
         self.limit = max(COLD_LIMIT, self.limit / 2)
         self.good_in_row = 0
         self._pause(max_age_s, now)
 
-    def failed(self, service: str, latency_s: float, now: float):
-        """Note an error of the server; a row of them counts as shed work.
+    def record_error(self, service: str, latency_s: float, now: float):
+        """Record a server error; `ERRORS_FOR_PAUSE` in a row count as shed.
 
-        A target that fails fast would otherwise look like the one with the
-        most room.
+        A target that fails fast would otherwise appear to have the most free
+        capacity.
         """
-        self.failed_in_row += 1
+        self.consecutive_errors += 1
         self.good_in_row = 0
-        if self.failed_in_row >= FAILURES_FOR_PAUSE:
-            self.shed(service, self.pause_s, now)
+        if self.consecutive_errors >= ERRORS_FOR_PAUSE:
+            self.record_shed(service, self.pause_s, now)
         else:
-            self._end(service, latency_s, now)
+            self._finish_request(service, latency_s, now)
 
-    def lost(self, service: str, now: float):
-        """Note that a request got no answer in time."""
-        self._end(service, 0.0, now)
+    def record_loss(self, service: str, now: float):
+        """Record that a request got no answer in time."""
+        self._finish_request(service, 0.0, now)
         self.turn_cold(now)
         self._pause(self.pause_s, now)
 
-    def doubt(self, service: str, now: float):
-        """Note a lost answer that may not be the target's fault.
+    def probe_after_loss(self, service: str, now: float):
+        """Record a lost answer for which the network may be the cause.
 
-        It is given one request at a time until the next answer: one in the
-        usual time shows that the target is as it was.
+        The target gets one request at a time until its next success. If that
+        is not slower than usual, the previous limit is restored.
         """
-        self._end(service, 0.0, now)
-        if not self.limit_before_doubt:
-            self.limit_before_doubt = self.limit
+        self._finish_request(service, 0.0, now)
+        if not self.limit_before_probe:
+            self.limit_before_probe = self.limit
         self.limit = COLD_LIMIT
 
-    def cancelled(self, service: str, now: float):
-        """Note that a request ended without telling anything of the target."""
-        self._end(service, 0.0, now)
+    def record_cancellation(self, service: str, now: float):
+        """Record that a request ended without any evidence about the target."""
+        self._finish_request(service, 0.0, now)
 
     def learn(self, limit: int, now: float):
-        """Note that another entry sent a request, and what it allows."""
+        """Record a request that another entry sent, and adopt that entry's limit."""
         if limit < int(self.limit):
             self.turn_cold(now)
         self.limit = min(self.ceiling, max(COLD_LIMIT, limit))
-        self.foreign = [*self.foreign[1 - self.ceiling :], now]
+        self.remote_starts = [*self.remote_starts[1 - self.ceiling :], now]
 
     def turn_cold(self, now: float):
-        """Start again from one request at a time."""
-        self.limit_before_doubt = 0.0
+        """Reset the limit to one request at a time."""
+        self.limit_before_probe = 0.0
         self.limit = COLD_LIMIT
         self.good_in_row = 0
         self.samples = 0
-        self.slow = ()
+        self.recent_slow = ()
         self.latency_s = 0.0
         self.since = now
 
     def report(self, load: float, at: float):
-        """Take what the target's endpoint says, a load from 0 to 1, as a hint."""
-        self.hint = load
-        self.hinted_at = at
+        """Record the load, from 0 to 1, that the target reports, as a hint."""
+        self.reported_load = load
+        self.load_reported_at = at
 
     def rank(self, now: float) -> tuple[float, float, float]:
-        """Order targets with room: the least in use, least worked, least loaded."""
-        fresh = now - self.hinted_at < HINT_MAX_AGE_S
-        return (self.used / self.limit, self.work(now), self.hint if fresh else 0.0)
+        """Sort key of targets: share in use, recent busy time, reported load."""
+        fresh = now - self.load_reported_at < LOAD_REPORT_MAX_AGE_S
+        return (
+            self.used / self.limit,
+            self.busy_s_per_slot(now),
+            self.reported_load if fresh else 0.0,
+        )
 
-    def work(self, now: float) -> float:
-        """Return the recent busy time in seconds per slot, halved every half-life."""
-        age = now - self.worked_at
-        return self.work_s * 0.5 ** (age / WORK_HALF_LIFE_S) / self.limit
+    def busy_s_per_slot(self, now: float) -> float:
+        """Return the busy time in seconds per slot, with exponential decay."""
+        age = now - self.busy_updated_at
+        return self.busy_s * 0.5 ** (age / BUSY_HALF_LIFE_S) / self.limit
 
-    def _end(self, service, latency_s, now):
+    def _finish_request(self, service, latency_s, now):
         self.in_flight[service] = max(0, self.in_flight.get(service, 0) - 1)
-        self.work_s = self.work(now) * self.limit + latency_s
-        self.worked_at = now
+        self.busy_s = self.busy_s_per_slot(now) * self.limit + latency_s
+        self.busy_updated_at = now
 
-    def _end_doubt(self, latency_s):
-        if latency_s <= LATENCY_LIKE_PEERS * self.baseline_s:
-            self.limit = max(self.limit, self.limit_before_doubt)
-        self.limit_before_doubt = 0.0
+    def _end_probe(self, latency_s):
+        if latency_s <= PEER_LATENCY_FACTOR * self.baseline_s:
+            self.limit = max(self.limit, self.limit_before_probe)
+        self.limit_before_probe = 0.0
 
-    def _learn(self, latency_s):
-        is_slow = latency_s > LATENCY_JUMP * (self.baseline_s or latency_s)
-        self.slow = (*self.slow[1 - JUMP_WINDOW :], is_slow)
+    def _update_latency(self, latency_s):
+        is_slow = latency_s > LATENCY_JUMP_FACTOR * (self.baseline_s or latency_s)
+        self.recent_slow = (*self.recent_slow[1 - JUMP_WINDOW_ANSWERS :], is_slow)
         self.samples += 1
-        weight = max(FAST_WEIGHT, 1 / self.samples)
+        weight = max(LATENCY_WEIGHT, 1 / self.samples)
         self.latency_s += weight * (latency_s - self.latency_s)
         if not self.baseline_s:
             self.baseline_s = latency_s
-        self.baseline_s += SLOW_WEIGHT * (latency_s - self.baseline_s)
+        self.baseline_s += BASELINE_WEIGHT * (latency_s - self.baseline_s)
         if not self.is_warm:
             self.baseline_s = min(self.baseline_s, self.latency_s)
 
-    def _has_jumped(self):
-        return self.is_warm and sum(self.slow) >= JUMP_SLOW
+    def _has_latency_jumped(self):
+        return self.is_warm and sum(self.recent_slow) >= JUMP_SLOW_ANSWERS
 
     def _seems_warm(self, peers_s, now):
         if peers_s:
-            return self.latency_s <= LATENCY_LIKE_PEERS * peers_s
+            return self.latency_s <= PEER_LATENCY_FACTOR * peers_s
         return now - self.since >= WARM_UP_S
 
     def _pause(self, pause_s, now):
--- a/kumquatshift/engine/coap.py
+++ b/kumquatshift/engine/coap.py
@@ -1,7 +1,7 @@
-"""CoAP messages (RFC 7252) as the request policy needs them.
+"""Parsing and building of CoAP messages (RFC 7252) for the request policy.
 
-Most packets are read by their header alone. Options are decoded, by the
-codec of ``aiocoap``, only where a decision depends on them.
+For most packets only the header is parsed. Options are decoded, with the codec
+of ``aiocoap``, only where a decision depends on them.
 """
 
 from dataclasses import dataclass
@@ -22,13 +22,13 @@
 MESSAGE_IDS = 1 << 16
 PATH_DIGEST_BYTES = 4
 
-#: Methods of RFC 7252, section 5.1, and RFC 8132 that may run again unharmed.
+#: Idempotent methods of RFC 7252, section 5.1, and RFC 8132.
 IDEMPOTENT_METHODS = frozenset(
     {Code.GET, Code.PUT, Code.DELETE, Code.FETCH, Code.iPATCH}
 )
 
-#: Codes by which a server says that it shed a request (RFC 7252, 5.9.3.4, and
-#: RFC 8516); they count only with the time to come back.
+#: Codes of a server that shed a request (RFC 7252, section 5.9.3.4, and RFC 8516);
+#: they count as shed only with a Max-Age option, the time to retry.
 SHED_CODES = frozenset({Code.SERVICE_UNAVAILABLE, Code.TOO_MANY_REQUESTS})
 
 
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Header:
-    """The fixed part of a message and its token."""
+    """The fixed header of a message, and its token."""
 
     type: int
     code: int
@@ -55,27 +55,27 @@
 
     @property
     def is_request(self) -> bool:
-        """Whether the code is a method."""
+        """Whether the code is a method code."""
         return 0 < self.code < 32
 
     @property
     def is_response(self) -> bool:
-        """Whether the code is that of a response."""
+        """Whether the code is a response code."""
         return 64 <= self.code < 192
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether the method may run twice; an unknown method may not."""
+        """Whether the method is idempotent; unknown methods are not."""
         return self.code in IDEMPOTENT_METHODS
 
 
 @dataclass(frozen=True, slots=True)
-class Request:
-    """What the options of a request say.
+class RequestOptions:
+    """Decoded options of a request.
 
-    ``block`` is the number of the block that is sent or asked for (RFC 7959),
-    0 without one. ``path_digest`` stands for the method and the resource that
-    the blocks belong to.
+    ``block`` is the number of the block that is sent or requested (RFC 7959),
+    or 0 without a block option. ``path_digest`` is a digest of the method and
+    the resource, which all blocks of a transfer share.
     """
 
     observe: int | None
@@ -84,8 +84,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Response:
-    """What the options of a response say; ``max_age_s`` is None if not given."""
+class ResponseOptions:
+    """Decoded options of a response; ``max_age_s`` is None if absent."""
 
     observe: int | None
     max_age_s: int | None
@@ -93,35 +93,35 @@
 
 
 def read_header(payload: bytes) -> Result[Header, Failure]:
-    """Read the header and the token only."""
+    """Parse the header and the token only."""
     if len(payload) < HEADER_BYTES:
-        return _bad("message is shorter than a CoAP header")
+        return _bad_input("message is shorter than the CoAP header of 4 bytes")
     first = payload[0]
     if first >> 6 != VERSION:
-        return _bad("CoAP version is not 1")
+        return _bad_input("unsupported CoAP version, expected 1")
     length = first & 0x0F
     if length > TOKEN_MAX_BYTES or len(payload) < HEADER_BYTES + length:
-        return _bad("token length is reserved, or the token is cut short")
+        return _bad_input("CoAP token length is invalid, or the token is truncated")
     code = payload[1]
     if code == Code.EMPTY and len(payload) > HEADER_BYTES:
-        return _bad("empty message carries bytes")
+        return _bad_input("empty CoAP message has data after its header")
     token = payload[HEADER_BYTES : HEADER_BYTES + length]
     mid = int.from_bytes(payload[2:4])
     return Success(Header((first >> 4) & 0x03, code, mid, token))
 
 
-def read_request(payload: bytes) -> Result[Request, Failure]:
+def read_request(payload: bytes) -> Result[RequestOptions, Failure]:
     """Decode the options of a request."""
     return _decode(payload).map(_request_of)
 
 
-def read_response(payload: bytes) -> Result[Response, Failure]:
+def read_response(payload: bytes) -> Result[ResponseOptions, Failure]:
     """Decode the options of a response."""
     return _decode(payload).map(_response_of)
 
 
 def renamed(payload: bytes, token: bytes, mid: int, kind: Type | None = None) -> bytes:
-    """Return the message with another token, id and type, all else untouched."""
+    """Return the message with a different token, id and type, otherwise unchanged."""
     old = payload[0] & 0x0F
     kind_bits = payload[0] & 0x30 if kind is None else kind << 4
     first = VERSION << 6 | kind_bits | len(token)
@@ -129,7 +129,7 @@
     return head + token + payload[HEADER_BYTES + old :]
 
 
-def empty(kind: Type, mid: int) -> bytes:
+def empty_message(kind: Type, mid: int) -> bytes:
     """Build an empty ACK or RST (RFC 7252, section 4.2) for a message id."""
     return bytes((VERSION << 6 | kind << 4, Code.EMPTY)) + mid.to_bytes(2)
 
@@ -141,11 +141,11 @@
     max_age_s: int = 0,
     separate_mid: int | None = None,
 ) -> bytes:
-    """Build the answer that refuses a request, with the time to come back.
+    """Build the response that refuses a request, with the time to retry.
 
-    A confirmable request is answered in its own ACK. Any other request, or one
-    that was acknowledged before, is answered by a non-confirmable message of
-    the id ``separate_mid``::
+    A confirmable request gets a response piggybacked on its ACK. Any other
+    request, or one that was acknowledged before, gets a non-confirmable message
+    with the id ``separate_mid``::
 
         refusal(req, ErrorKind.NOT_RUN, "not run; come back in 3 s", 3)
     """
@@ -166,7 +166,7 @@
     try:
         return Success(Message.decode(payload))
     except (UnparsableMessage, ValueError, IndexError) as exc:
-        return _bad(f"CoAP options cannot be read: {exc}")
+        return _bad_input(f"cannot decode CoAP options: {exc}")
 
 
 def _request_of(msg):
@@ -177,7 +177,7 @@
     digest.update("/".join(names).encode())
     for tag in msg.opt.request_tag:
         digest.update(tag)
-    return Request(
+    return RequestOptions(
         observe=msg.opt.observe,
         block=max((blk.block_number for blk in blocks), default=0),
         path_digest=digest.digest(),
@@ -186,12 +186,12 @@
 
 def _response_of(msg):
     max_age_s = msg.opt.max_age
-    return Response(
+    return ResponseOptions(
         observe=msg.opt.observe,
         max_age_s=max_age_s,
         shed=msg.code in SHED_CODES and max_age_s is not None,
     )
 
 
-def _bad(message):
+def _bad_input(message):
     return Err(Failure(ErrorKind.BAD_INPUT, message))
--- a/kumquatshift/engine/datagrams.py
+++ b/kumquatshift/engine/datagrams.py
@@ -1,4 +1,4 @@
-"""IPv4/UDP datagrams as bytes: what they carry, and datagrams made from them."""
+"""Parsing and building of IPv4/UDP datagrams."""
 
 import struct
 from dataclasses import dataclass
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """The UDP payload of one IPv4 packet, and where in the packet it starts."""
+    """The UDP payload of an IPv4 packet, and its offset in the packet."""
 
     packet: bytes
     offset: int
@@ -24,45 +24,47 @@
 
 
 def read_datagram(packet: bytes) -> Result[Datagram, Failure]:
-    """Read the UDP payload of a whole IPv4 packet.
+    """Parse an IPv4 packet, and return its UDP datagram.
 
-    Fragments and anything but UDP are bad input. The payload is cut at the
-    length that the UDP header states (RFC 768), so trailing bytes are ignored.
+    Fragments and protocols other than UDP are bad input. The length in the UDP
+    header (RFC 768) bounds the payload, so trailing bytes are ignored.
     """
     if len(packet) < IP_HEADER_MIN_BYTES + UDP_HEADER_BYTES or packet[0] >> 4 != 4:
-        return _bad("packet is not IPv4 with a UDP header")
-    header = (packet[0] & 0x0F) * WORD_BYTES
-    if header < IP_HEADER_MIN_BYTES or packet[9] != dpkt.ip.IP_PROTO_UDP:
-        return _bad("packet is not UDP")
+        return _bad_input("packet is not IPv4, or too short for IPv4 and UDP headers")
+    ip_header_bytes = (packet[0] & 0x0F) * WORD_BYTES
+    if ip_header_bytes < IP_HEADER_MIN_BYTES or packet[9] != dpkt.ip.IP_PROTO_UDP:
+        return _bad_input("packet has an invalid IPv4 header length, or is not UDP")
     if int.from_bytes(packet[6:8]) & FRAGMENT_MASK:
-        return _bad("packet is a fragment")
-    offset = header + UDP_HEADER_BYTES
-    end = header + int.from_bytes(packet[header + 4 : header + 6])
+        return _bad_input("packet is an IPv4 fragment")
+    offset = ip_header_bytes + UDP_HEADER_BYTES
+    end = ip_header_bytes + int.from_bytes(
+        packet[ip_header_bytes + 4 : ip_header_bytes + 6]
+    )
     if not offset <= end <= len(packet):
-        return _bad("UDP length does not match the packet")
+        return _bad_input("UDP length does not fit the packet")
     return Success(Datagram(packet, offset, packet[offset:end]))
 
 
 def with_payload(datagram: Datagram, payload: bytes) -> bytes:
-    """Return the same packet with another payload, lengths and sums renewed."""
+    """Return the packet with another payload, and new lengths and checksums."""
     if payload == datagram.payload:
         return datagram.packet
     ip = dpkt.ip.IP(datagram.packet)
     udp = ip.data
-    return _packed(ip.src, ip.dst, udp.sport, udp.dport, payload, ip.ttl)
+    return _build_packet(ip.src, ip.dst, udp.sport, udp.dport, payload, ip.ttl)
 
 
 def answer_packet(flow: bytes, payload: bytes) -> bytes:
-    """Return a packet to the caller of ``flow``, as from the service's address.
+    """Return a packet from the service's address to the caller of ``flow``.
 
-    The flow key is the caller's address, the service's, the two ports and the
-    protocol number, 13 bytes in all.
+    The flow key consists of the caller's and the service's addresses, their
+    ports and the protocol number, 13 bytes in all.
     """
     src, dst, sport, dport, _ = struct.unpack("!4s4sHHB", flow)
-    return _packed(dst, src, dport, sport, payload)
+    return _build_packet(dst, src, dport, sport, payload)
 
 
-def _packed(src, dst, sport, dport, payload, ttl=64):
+def _build_packet(src, dst, sport, dport, payload, ttl=64):
     udp = dpkt.udp.UDP(
         sport=sport, dport=dport, ulen=UDP_HEADER_BYTES + len(payload), data=payload
     )
@@ -70,5 +72,5 @@
     return bytes(ip)
 
 
-def _bad(message):
+def _bad_input(message):
     return Err(Failure(ErrorKind.BAD_INPUT, message))
--- a/kumquatshift/engine/decisions.py
+++ b/kumquatshift/engine/decisions.py
@@ -1,4 +1,4 @@
-"""What the request policy decides about one packet or one moment."""
+"""Decisions that the request policy returns for a packet or a timer tick."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class Cause(StrEnum):
-    """Why a request was refused or a packet went no further; each is counted."""
+    """Cause of a refusal, a discarded packet or a retry; each has a counter."""
 
     MALFORMED = "malformed"
     REPEATED = "repeated"
@@ -26,11 +26,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
-    """What the other holders must know before a packet goes on.
+class RecordFields:
+    """Fields of the `messages.Record` that a packet carries to the other holders.
 
-    The fields are those of `messages.Record`; ``key`` is the flow key and the
-    caller's token. ``target`` is empty for a request that was refused.
+    ``key`` is the flow key and the caller's token. ``target`` is empty for a
+    request that was refused.
     """
 
     key: bytes
@@ -42,15 +42,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Forward:
-    """Carry ``data`` with the record past the other holders, then to the target."""
+    """Relay ``data`` with the record through the other holders to the target."""
 
-    note: Note
+    note: RecordFields
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Pass:
-    """Send ``data`` to a target that the holders know already."""
+    """Send ``data`` directly to a target; the other holders have the record already."""
 
     target: str
     data: bytes
@@ -58,35 +58,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Return:
-    """Give ``data`` to the caller."""
+    """Send ``data`` to the caller."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Give the refusal ``data`` to the caller, now.
+    """Send the refusal ``data`` to the caller.
 
-    With a ``note`` the record goes past the other holders first, since the
-    refusal says "not run" and none of them may run the request later.
+    With `note`, the record passes the other holders first: the refusal says
+    "not run", so none of them may forward the request later.
     """
 
     kind: ErrorKind
     cause: Cause
     data: bytes
-    note: Note | None = None
+    note: RecordFields | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Queue:
-    """The request waits for a slot; a later call decides it."""
+    """The request is queued for a slot; a later call returns its decision."""
 
     key: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Discard:
-    """Let the packet go."""
+    """Discard the packet, and count it under ``cause``."""
 
     cause: Cause
 
--- a/kumquatshift/engine/priority.py
+++ b/kumquatshift/engine/priority.py
@@ -1,4 +1,4 @@
-"""Waiting requests of several priorities: bounded, weighted, none starved."""
+"""Queue of claims with weighted priorities, without starvation."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterator
@@ -6,17 +6,17 @@
 
 from .objects import Priority
 
-#: Shares of the slots that come free while several priorities wait.
+#: Relative shares of freed slots while claims of several priorities are queued.
 WEIGHTS = {Priority.URGENT: 16, Priority.NORMAL: 4, Priority.BULK: 1}
 
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """One request that wants a slot.
+    """A request's claim to a slot.
 
-    ``ticket`` names it; ``deadline`` is a time in seconds; ``pinned`` is the
-    only target that will do, if there is one; ``avoid`` are targets that have
-    already had a try.
+    `ticket` identifies the claim; ``deadline`` is a time in seconds; ``pinned``
+    is the only eligible target, if set; ``avoid`` are targets that have already
+    been tried.
     """
 
     ticket: bytes
@@ -28,12 +28,12 @@
 
 
 class ClaimQueue:
-    """Claims in order of arrival within a priority, by stride between them.
+    """Queue in order of arrival within a priority, stride scheduling between them.
 
-    Each grant moves its priority's ``pass`` on by one over its weight, and the
-    priority with the least pass is served next, so that bulk work gets its
-    share (1 in 17 next to urgent work) and an urgent claim waits behind at
-    most one of bulk.
+    Each grant advances the ``pass`` of its priority by one over its weight, and
+    the priority with the lowest pass is served next. Bulk work thus gets its
+    share (1 in 17 next to urgent work), and an urgent claim waits behind at
+    most one bulk claim.
     """
 
     def __init__(self):
@@ -48,7 +48,7 @@
             yield from claims.values()
 
     def ahead_of(self, priority: Priority) -> int:
-        """Count the claims that a new one of ``priority`` would wait behind."""
+        """Return how many claims a new one of ``priority`` would wait behind."""
         return sum(
             len(claims)
             for other, claims in self._waiting.items()
@@ -56,22 +56,22 @@
         )
 
     def length(self, priority: Priority) -> int:
-        """Count the claims of one priority."""
+        """Return the number of claims of one priority."""
         return len(self._waiting[priority])
 
     def push(self, claim: Claim):
-        """Let a claim wait."""
+        """Add a claim."""
         claims = self._waiting[claim.priority]
         if not claims:
             self._catch_up(claim.priority)
         claims[claim.ticket] = claim
 
     def remove(self, claim: Claim) -> bool:
-        """Take a claim out; False when it does not wait."""
+        """Remove a claim; return False if it was not queued."""
         return self._waiting[claim.priority].pop(claim.ticket, None) is not None
 
     def pop(self, fits: Callable[[Claim], bool]) -> Claim | None:
-        """Take out the next claim that ``fits``; None when there is none."""
+        """Remove and return the next claim for which ``fits`` is true, or None."""
         for priority in sorted(Priority, key=self._order):
             for claim in self._waiting[priority].values():
                 if fits(claim):
@@ -81,7 +81,7 @@
         return None
 
     def pop_expired(self, now: float) -> list[Claim]:
-        """Take out the claims whose deadline has passed."""
+        """Remove and return the claims whose deadline has passed."""
         expired = [claim for claim in self if claim.deadline <= now]
         for claim in expired:
             self.remove(claim)
--- a/kumquatshift/engine/refusals.py
+++ b/kumquatshift/engine/refusals.py
@@ -1,4 +1,4 @@
-"""Refusals: which error kind, what it says, and when the caller may come back."""
+"""Refusals: CoAP error responses with a diagnostic text and a time to retry."""
 
 import math
 from collections import Counter
@@ -8,14 +8,14 @@
 from . import coap
 from .coap import MESSAGE_IDS
 from .datagrams import answer_packet
-from .decisions import Cause, Note, Refuse
+from .decisions import Cause, RecordFields, Refuse
 from .exchanges import Exchange, Phase
 from .ports import Randomness
 
 MAX_AGE_MIN_S = 1
 MAX_AGE_MAX_S = 60
 
-TEXTS = {
+DIAGNOSTICS = {
     ErrorKind.NOT_RUN: "not run; come back in {} s",
     ErrorKind.OVERLOADED: "busy; come back in {} s",
     ErrorKind.UNAVAILABLE: "no target; come back in {} s",
@@ -24,7 +24,7 @@
     ErrorKind.BAD_INPUT: "options cannot be read",
 }
 
-#: Kinds that say when to come back; the others advise no second try.
+#: Kinds whose refusal has a time to retry; the others advise no retry.
 KINDS_WITH_MAX_AGE = frozenset(
     {
         ErrorKind.NOT_RUN,
@@ -35,9 +35,9 @@
 )
 
 
-def note_of(exchange: Exchange) -> Note:
-    """Return what other holders must know of an exchange."""
-    return Note(
+def record_fields_of(exchange: Exchange) -> RecordFields:
+    """Return the record fields that the other holders need for an exchange."""
+    return RecordFields(
         exchange.key,
         exchange.target,
         exchange.born_ms,
@@ -58,33 +58,33 @@
     ) -> Refuse:
         """Refuse an exchange for the first time.
 
-        The time to come back is drawn between the backlog and about twice
-        that, so that callers do not all return together.
+        The time to retry (Max-Age) is random between the backlog and about
+        twice the backlog, so that callers don't all retry at once.
         """
         exchange.kind = kind
         exchange.max_age_s = 0
         if kind in KINDS_WITH_MAX_AGE:
             exchange.max_age_s = self._max_age_s(backlog_s)
         self.counts[kind, cause] += 1
-        return self.again(exchange, cause)
+        return self.repeat(exchange, cause)
 
-    def again(self, exchange: Exchange, cause: Cause) -> Refuse:
-        """Give the refusal of an exchange, the same as before.
+    def repeat(self, exchange: Exchange, cause: Cause) -> Refuse:
+        """Build the refusal of an exchange again, with the same content.
 
-        The claim "not run" goes past the other holders each time, since an
-        earlier one may not have got there.
+        A refusal as "not run" is sent past the other holders each time, since
+        an earlier one may not have reached them.
         """
         exchange.phase = Phase.REFUSED
-        claims = exchange.kind is ErrorKind.NOT_RUN
+        says_not_run = exchange.kind is ErrorKind.NOT_RUN
         return Refuse(
             exchange.kind,
             cause,
             answer_packet(exchange.flow, self._message(exchange)),
-            note_of(exchange) if claims else None,
+            record_fields_of(exchange) if says_not_run else None,
         )
 
     def _message(self, exchange):
-        text = TEXTS[exchange.kind].format(exchange.max_age_s)
+        text = DIAGNOSTICS[exchange.kind].format(exchange.max_age_s)
         separate = exchange.acknowledged or exchange.header.type != coap.Type.CON
         return coap.refusal(
             exchange.header,
--- a/kumquatshift/engine/request_router.py
+++ b/kumquatshift/engine/request_router.py
@@ -1,12 +1,12 @@
-"""Carry the request policy's decisions between entries, callers and targets.
+"""Executes the request policy's decisions between entries, callers and targets.
 
-The flow's primary asks the policy; what the policy decides travels past the
-other holders, which adopt it, before a target or the caller sees it. A holder
-that knows otherwise lets the packet go no further.
+The flow's primary calls the policy. Its decision is relayed through the other
+holders, which adopt it, before the packet reaches a target or the caller. A
+holder that knows of a contradicting decision drops the packet.
 
-All requests of a service have the same holders, so that one entry gives out the
-slots of the service's targets, and no two count on the same slot. Who these are
-is worked out in `holders`.
+All requests of a service have the same holders, so a single entry grants the
+slots of the service's targets, and no slot is granted twice. `holders` selects
+them.
 """
 
 from .actions import Action, DropReason, SendCaller, SendPeer, SendTarget
@@ -15,7 +15,7 @@
 from .messages import Direction, Record, RecordBatch, Relay
 from .node import Node
 from .packets import KEY_BYTES, flow_key, reverse_key
-from .refusals import note_of
+from .refusals import record_fields_of
 from .requests import RequestPolicy
 from .slots import SlotPool
 from .store import ServiceView
@@ -25,7 +25,7 @@
 
 
 class RequestRouter:
-    """Requests of one entry."""
+    """Routes the packets of request services on one entry."""
 
     def __init__(self, node: Node):
         self._node = node
@@ -35,13 +35,13 @@
         self._policy = RequestPolicy.from_config(
             {}, self._pool, self._holders, node.rng
         )
-        self._usable: frozenset[str] = frozenset()
+        self._usable_targets: frozenset[str] = frozenset()
         self._rings = (node.members.known, node.members.ring)
-        self._to_copy: list[tuple[str, Record]] = []
+        self._pending_copies: list[tuple[str, Record]] = []
 
     @property
     def counts(self) -> dict[str, int]:
-        """Packets that went no further and refusals, by cause."""
+        """Number of discarded packets, retries and refusals, by cause."""
         stopped = {f"requests-{c}": n for c, n in self._policy.counts.items()}
         refused = {
             f"refused-{kind}-{cause}": n
@@ -50,18 +50,18 @@
         return stopped | refused
 
     def latencies(self) -> list[tuple[str, float]]:
-        """Return profile and seconds of each request answered since the last call."""
+        """Return profile and latency in s of requests answered since the last call."""
         by_name = self._node.store.by_name
-        taken = [
+        latencies_taken = [
             (by_name[each.service].profile.name, each.seconds)
             for each in self._policy.latencies
             if each.service in by_name
         ]
         self._policy.latencies.clear()
-        return taken
+        return latencies_taken
 
     def configure(self, now: float) -> list[Action]:
-        """Take the configuration in force, and give up targets that are gone."""
+        """Apply the configuration in force, and handle the targets that it removed."""
         node = self._node
         views = node.store.by_name.values()
         requests = {
@@ -75,12 +75,12 @@
         self._pool.configure(requests, targets, now)
         self._policy.configure(requests)
         names = frozenset(target.name for target in targets)
-        lost, self._usable = self._usable - names, names
+        lost, self._usable_targets = self._usable_targets - names, names
         decisions = [d for name in lost for d in self._policy.lose_target(name, now)]
-        return self._carry_out(decisions)
+        return self._actions_for(decisions)
 
     def primary(self, view: ServiceView) -> str:
-        """Return the entry that decides on a service's requests, "" if none does."""
+        """Return the primary entry of a service's requests, or "" if there is none."""
         return self._holders.primary(view)
 
     def quiet_times_over(self, now: float) -> dict[str, bool]:
@@ -92,42 +92,44 @@
         }
 
     def from_caller(self, view: ServiceView, data: bytes, now: float) -> list[Action]:
-        """Decide as the flow's primary on a packet from a caller."""
+        """Handle a packet from a caller as the flow's primary."""
         decisions = self._policy.request(view.service.name, flow_key(data), data, now)
-        return self._carry_out(decisions)
+        return self._actions_for(decisions)
 
     def from_target(self, data: bytes, now: float) -> list[Action]:
-        """Decide as the flow's primary on a packet from a target."""
-        return self._carry_out(self._policy.response(reverse_key(data), data, now))
+        """Handle a packet from a target as the flow's primary."""
+        return self._actions_for(self._policy.response(reverse_key(data), data, now))
 
     def hold(self, relay: Relay, view: ServiceView, now: float) -> list[Action]:
-        """Adopt what the primary decided, and pass the packet on."""
+        """Adopt the primary's decision, and relay the packet further."""
         record = relay.record
         name = view.service.name
         if record.service != view.created:
             return [self._node.drop(DropReason.UNKNOWN_SERVICE)]
         adopted = self._policy.adopt(name, record, now)
-        counted_on = relay.copies > 0
-        if not adopted or (counted_on and not self._holders.quiet_time_over(view, now)):
+        counts_as_witness = relay.copies > 0
+        if not adopted or (
+            counts_as_witness and not self._holders.quiet_time_over(view, now)
+        ):
             return [self._node.drop(DropReason.CONTRADICTED)]
-        return self._along(relay.path, record, relay.data, relay.copies - 1)
+        return self._send_along_path(relay.path, record, relay.data, relay.copies - 1)
 
     def adopt(self, record: Record, now: float) -> None:
-        """Hold a record that was copied outside the packet path."""
+        """Adopt a record that was copied outside the packet path."""
         view = self._holders.view(record.key)
         if view is not None and view.created == record.service:
             self._policy.adopt(view.service.name, record, now)
 
     def tick(self, now: float) -> list[Action]:
-        """Decide what time alone decides; to be called every 50 ms or so."""
-        self._pool.cut_off = self._cut_off()
-        return self._carry_out(self._policy.tick(now)) + self._copies()
+        """Handle timeouts and pending copies; to be called about every 50 ms."""
+        self._pool.cut_off = self._unreachable_domains()
+        return self._actions_for(self._policy.tick(now)) + self._next_record_batches()
 
     def ring_changed(self) -> None:
-        """Copy open exchanges to their present holders, a few with each tick.
+        """Queue copies of open exchanges to their new holders, sent over later ticks.
 
-        Whoever decided before the change sends them, and who decides now, since
-        the one of before may have failed.
+        Both the primary before the change and the present one send them, since
+        the former may have failed.
         """
         members, holders = self._node.members, self._holders
         before, self._rings = self._rings, (members.known, members.ring)
@@ -136,15 +138,15 @@
                 continue
             flow = exchange.flow
             if holders.is_primary(flow) or holders.was_primary(flow, *before):
-                record = self._record(note_of(exchange))
+                record = self._record(record_fields_of(exchange))
                 names = holders.witnesses(flow) + holders.newcomers(flow)
-                self._to_copy += [(name, record) for name in names]
+                self._pending_copies += [(name, record) for name in names]
 
-    def _copies(self):
-        """Take the next few exchanges to copy, in one message for each entry."""
-        due, self._to_copy = (
-            self._to_copy[:RECORDS_PER_TICK],
-            self._to_copy[RECORDS_PER_TICK:],
+    def _next_record_batches(self):
+        """Return the next pending copies, in batches for each receiving entry."""
+        due, self._pending_copies = (
+            self._pending_copies[:RECORDS_PER_TICK],
+            self._pending_copies[RECORDS_PER_TICK:],
         )
         by_peer: dict[str, list[Record]] = {}
         for name, record in due:
@@ -155,8 +157,8 @@
             for start in range(0, len(each), RECORDS_PER_BATCH)
         ]
 
-    def _cut_off(self):
-        """Return the failure domains with targets that we do not reach."""
+    def _unreachable_domains(self):
+        """Return the failure domains of targets that this entry can't reach."""
         node = self._node
         domains = {target.domain for target in self._pool.targets.values()}
         return frozenset(name for name in domains if not node.reaches(name))
@@ -168,13 +170,13 @@
             note.key, note.target, created, note.born_ms, note.epoch, False, note.detail
         )
 
-    def _carry_out(self, decisions: list[Decision]) -> list[Action]:
+    def _actions_for(self, decisions: list[Decision]) -> list[Action]:
         actions = []
         for decision in decisions:
-            actions += self._action(decision)
+            actions += self._actions_for_one(decision)
         return actions
 
-    def _action(self, decision):
+    def _actions_for_one(self, decision):
         if isinstance(decision, Return):
             return [SendCaller(decision.data)]
         if isinstance(decision, Pass):
@@ -186,15 +188,15 @@
             flow = decision.note.key[:KEY_BYTES]
             witnesses = self._holders.witnesses(flow)
             path = witnesses + self._holders.newcomers(flow)
-            return self._along(path, record, decision.data, len(witnesses))
+            return self._send_along_path(path, record, decision.data, len(witnesses))
         if isinstance(decision, Refuse):
             return [SendCaller(decision.data)]
         return []
 
-    def _along(self, path, record, data, witnesses):
-        """Take a record past the other holders, and then its packet to its end.
+    def _send_along_path(self, path, record, data, witnesses):
+        """Relay a record and its packet through the path, or deliver the packet.
 
-        The first ``witnesses`` of the path have to be such.
+        The first ``witnesses`` entries of the path must be witnesses.
         """
         if path:
             relay = Relay(
--- a/kumquatshift/engine/retries.py
+++ b/kumquatshift/engine/retries.py
@@ -1,4 +1,4 @@
-"""Retry budget: retries as a share of first tries, so that they cannot pile up."""
+"""Retry budget: limits retries to a share of first attempts."""
 
 from dataclasses import dataclass
 
@@ -7,27 +7,27 @@
 
 @dataclass
 class RetryBudget:
-    """A token bucket that first tries fill and retries empty.
+    """A token bucket that first attempts fill and retries drain.
 
-    Each first try adds ``share`` of a retry, up to `BURST_RETRIES`. The bucket
-    starts empty, so at any time targets have seen at most ``1 + share`` times
-    the first tries.
+    Each first attempt adds ``share`` tokens, up to `BURST_RETRIES`. The bucket
+    starts empty, so targets never receive more than ``1 + share`` times the
+    number of first attempts, and retries can't amplify an overload.
     """
 
     share: float
     saved: float = 0.0
 
-    def first_try(self):
-        """Note that a request was passed on for the first time."""
+    def record_first_attempt(self):
+        """Record that a request was forwarded for the first time."""
         self.saved = min(BURST_RETRIES, self.saved + self.share)
 
     def take(self) -> bool:
-        """Take one retry; False when the budget does not allow it."""
+        """Take the token for a retry; return False if there is none."""
         if self.saved < 1.0:
             return False
         self.saved -= 1.0
         return True
 
-    def put_back(self):
-        """Give back a retry that was taken but not made."""
+    def refund(self):
+        """Return the token of a retry that was not made."""
         self.saved += 1.0
--- a/kumquatshift/engine/slots.py
+++ b/kumquatshift/engine/slots.py
@@ -1,4 +1,8 @@
-"""Slots of the targets in reach: who gets one, who waits, who is refused."""
+"""Admission control: grants the slots of targets to requests.
+
+A slot allows one request in flight at a target. A request that wants one makes
+a `Claim`, which is granted, queued or rejected.
+"""
 
 import math
 from collections.abc import Iterable
@@ -6,7 +10,7 @@
 from enum import StrEnum
 from statistics import median
 
-from .allowance import LATENCY_GUESS_S, Allowance
+from .allowance import DEFAULT_LATENCY_S, Allowance
 from .objects import Priority, Profile, Target, TargetState
 from .priority import Claim, ClaimQueue
 
@@ -14,17 +18,18 @@
 SERVICE_TIME_WEIGHT = 1 / 32
 RESERVED_SHARE_MAX = 0.75
 
-#: A slot comes free when no answer has come for the greater of these: a fixed
-#: time, longer than it takes to notice a dead entry, and so many mean times.
+#: A slot is freed without an answer after `LEASE_MIN_S` or `LEASE_SERVICE_TIMES`
+#: mean service times, whichever is longer. The minimum exceeds the time that it
+#: takes to detect a failed entry.
 LEASE_MIN_S = 3.0
-LEASE_TIMES = 6.0
+LEASE_SERVICE_TIMES = 6.0
 
-#: How many slots that came free early are remembered for a late answer.
-OVERDUE_MAX = 10_000
+#: Number of expired leases kept, so that late answers still count as latencies.
+MAX_EXPIRED_LEASES = 10_000
 
 
 class Outcome(StrEnum):
-    """How a request that held a slot ended."""
+    """Outcome of a request that held a slot."""
 
     GOOD = "good"
     SHED = "shed"
@@ -34,7 +39,7 @@
 
 
 class Rejection(StrEnum):
-    """Why a claim gets no slot."""
+    """Reason for which a claim was rejected."""
 
     NO_TARGET = "no-target"
     QUEUE_FULL = "queue-full"
@@ -44,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """The claim has a slot of ``target``."""
+    """The claim was granted a slot of ``target``."""
 
     ticket: bytes
     target: str
@@ -52,14 +57,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Waiting:
-    """The claim waits; `SlotPool.tick` or a release decides it."""
+    """The claim is queued; a later `SlotPool.tick` or a release decides it."""
 
     ticket: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The claim gets no slot; the backlog will be worked off in ``backlog_s``."""
+    """The claim was rejected; ``backlog_s`` estimates the time to clear the backlog."""
 
     ticket: bytes
     reason: Rejection
@@ -77,8 +82,8 @@
 
 
 @dataclass(slots=True)
-class _ServiceTimes:
-    mean_s: float = LATENCY_GUESS_S
+class _ServiceTimeAverage:
+    mean_s: float = DEFAULT_LATENCY_S
     samples: int = 0
 
     def learn(self, latency_s):
@@ -89,13 +94,13 @@
 
 @dataclass
 class SlotPool:
-    """Gives out the slots of a set of targets to claims of several services.
+    """Grants the slots of a set of targets to the claims of several services.
 
-    Targets that have the same host share its slots. Times are in seconds.
-    ``cut_off`` names failure domains out of reach: their targets get nothing
-    new, but for the later blocks of a transfer that one of them holds. One
-    pool decides for its targets alone: two pools that hold the same target
-    each count only what they gave out themselves.
+    Targets with the same host share its slots. Times are in seconds. `cut_off`
+    is the set of unreachable failure domains: their targets get no new work,
+    except the later blocks of a block-wise transfer that already goes to one of
+    them. A pool counts only the slots that it granted itself, so two pools with
+    the same target don't see each other's requests.
     """
 
     targets: dict[str, Target] = field(default_factory=dict)
@@ -104,17 +109,17 @@
     queue: ClaimQueue = field(default_factory=ClaimQueue)
     cut_off: frozenset[str] = frozenset()
     _leases: dict[bytes, _Lease] = field(default_factory=dict)
-    _overdue: dict[bytes, _Lease] = field(default_factory=dict)
-    _heard_at: float = 0.0
-    _times: dict[str, _ServiceTimes] = field(default_factory=dict)
-    _members: dict[str, list[Target]] = field(default_factory=dict)
+    _expired_leases: dict[bytes, _Lease] = field(default_factory=dict)
+    _last_answer_at: float = 0.0
+    _service_times: dict[str, _ServiceTimeAverage] = field(default_factory=dict)
+    _service_targets: dict[str, list[Target]] = field(default_factory=dict)
     _reserved: dict[str, dict[str, int]] = field(default_factory=dict)
 
     @classmethod
     def from_config(
         cls, profiles: dict[str, Profile], targets: Iterable[Target], now: float
     ) -> "SlotPool":
-        """Make a pool; ``profiles`` gives the profile of each service by name."""
+        """Create a pool; ``profiles`` maps service names to profiles."""
         pool = cls()
         pool.configure(profiles, targets, now)
         return pool
@@ -122,39 +127,39 @@
     def configure(
         self, profiles: dict[str, Profile], targets: Iterable[Target], now: float
     ):
-        """Take another configuration; a host that is new starts cold."""
+        """Apply a new configuration; hosts that it adds start cold."""
         self.profiles = dict(profiles)
         self.targets = {target.name: target for target in targets}
         ceilings = {}
         for target in self.targets.values():
             ceilings[target.host] = max(target.slots, ceilings.get(target.host, 1))
         for host, ceiling in ceilings.items():
-            allowance = self.hosts.setdefault(host, Allowance(ceiling, since=now))
-            allowance.ceiling = ceiling
-            allowance.limit = min(allowance.limit, ceiling)
+            limiter = self.hosts.setdefault(host, Allowance(ceiling, since=now))
+            limiter.ceiling = ceiling
+            limiter.limit = min(limiter.limit, ceiling)
         busy = {self.targets.get(lease.target) for lease in self._leases.values()}
         kept = set(ceilings) | {target.host for target in busy if target}
         self.hosts = {host: self.hosts[host] for host in self.hosts if host in kept}
-        self._members = {}
+        self._service_targets = {}
         for target in self.targets.values():
-            self._members.setdefault(target.service, []).append(target)
+            self._service_targets.setdefault(target.service, []).append(target)
         self._reserved = {host: self._reservations(host) for host in ceilings}
 
     def claim(self, claim: Claim, now: float, wait: bool = True) -> Verdict:
-        """Give a slot at once, let the claim wait, or reject it at once.
+        """Grant a slot, queue the claim, or reject it.
 
-        A claim is rejected when its queue is full, or when the backlog leaves
-        no time to answer it before its deadline. With ``wait`` False it never
-        waits.
+        A claim is rejected when its queue is full, or when the estimated wait
+        leaves no time to answer it before its deadline. With ``wait`` False it
+        is rejected instead of queued.
         """
-        target = self._choose(claim, now)
+        target = self._choose_target(claim, now)
         if target is not None and not self._must_wait(claim):
             return self._grant(claim, target, now)
         if not self._candidates(claim):
             return self._reject(claim, Rejection.NO_TARGET)
         if not wait or self.queue.length(claim.priority) >= self._queue_limit(claim):
             return self._reject(claim, Rejection.QUEUE_FULL)
-        mean_s = self._mean_s(claim.service)
+        mean_s = self._mean_service_s(claim.service)
         if now + self.wait_s(claim.service, claim.priority) + mean_s > claim.deadline:
             return self._reject(claim, Rejection.TOO_LATE)
         self.queue.push(claim)
@@ -163,21 +168,21 @@
     def release(
         self, ticket: bytes, outcome: Outcome, now: float, max_age_s: float = 0.0
     ) -> list[Verdict]:
-        """Give a slot back, and return what that decides for waiting claims."""
+        """Release a slot, and return the verdicts on queued claims that follow."""
         lease = self._leases.pop(ticket, None)
         if lease is None:
-            self._note_late(ticket, outcome, now)
+            self._record_late_answer(ticket, outcome, now)
             return []
-        self._end(lease, outcome, now, max_age_s)
+        self._end_lease(lease, outcome, now, max_age_s)
         return self._dispatch(now)
 
     def withdraw(self, claim: Claim) -> bool:
-        """Take a waiting claim out; False when it does not wait."""
+        """Remove a claim from the queue; return False if it was not queued."""
         return self.queue.remove(claim)
 
     def tick(self, now: float) -> list[Verdict]:
-        """Reject the claims whose deadline has passed, and grant what can be."""
-        self._end_overdue(now)
+        """Reject claims past their deadline, and grant the slots that are free."""
+        self._expire_leases(now)
         rejected = [
             self._reject(claim, Rejection.EXPIRED)
             for claim in self.queue.pop_expired(now)
@@ -185,54 +190,62 @@
         return rejected + self._dispatch(now)
 
     def report(self, host: str, load: float, at: float):
-        """Take the load (0 to 1) that a host's endpoint told at a time, as a hint."""
+        """Record the load (0 to 1) that a host reported at a time, used as a hint."""
         if host in self.hosts:
             self.hosts[host].report(load, at)
 
     def renew(self, host: str, now: float):
-        """Note that a host has started anew: it is cold."""
+        """Reset the limit of a host that has restarted: it is cold."""
         if host in self.hosts:
             self.hosts[host].turn_cold(now)
 
     def limit_of(self, target: str) -> int:
-        """Return how many requests a target may have in flight; 0 if unknown."""
-        member = self.targets.get(target)
-        return int(self.hosts[member.host].limit) if member else 0
+        """Return the concurrency limit of a target; 0 for an unknown target."""
+        known = self.targets.get(target)
+        return int(self.hosts[known.host].limit) if known else 0
 
     def learn(self, target: str, limit: int, now: float):
-        """Take over what another entry allows a target, unless in use from here."""
-        member = self.targets.get(target)
-        if member is None or not limit or self.hosts[member.host].used:
+        """Adopt the limit that another entry set, unless this pool uses the target."""
+        known = self.targets.get(target)
+        if known is None or not limit or self.hosts[known.host].used:
             return
-        self.hosts[member.host].learn(limit, now)
+        self.hosts[known.host].learn(limit, now)
 
     def wait_s(self, service: str, priority: Priority) -> float:
-        """Estimate how long a new claim of this priority would wait."""
-        slots = self._slots(service)
-        return self.queue.ahead_of(priority) * self._mean_s(service) / max(1, slots)
+        """Estimate the queueing time of a new claim of this priority."""
+        slots = self._slot_count(service)
+        return (
+            self.queue.ahead_of(priority)
+            * self._mean_service_s(service)
+            / max(1, slots)
+        )
 
     def backlog_s(self, service: str) -> float:
-        """Estimate how long all the present work of a service will take."""
-        held = sum(self.hosts[host].used for host in self._hosts_of(service))
-        work = len(self.queue) + held
-        return work * self._mean_s(service) / max(1, self._slots(service))
+        """Estimate the time to complete all queued and running work of a service."""
+        in_flight = sum(self.hosts[host].used for host in self._hosts_of(service))
+        requests = len(self.queue) + in_flight
+        return (
+            requests * self._mean_service_s(service) / max(1, self._slot_count(service))
+        )
 
     def load(self) -> float:
-        """Return requests in flight and waiting, per slot."""
-        held = sum(allowance.used for allowance in self.hosts.values())
-        slots = sum(int(allowance.limit) for allowance in self.hosts.values())
-        return (held + len(self.queue)) / max(1, slots)
+        """Return the number of running and queued requests per slot."""
+        in_flight = sum(limiter.used for limiter in self.hosts.values())
+        slots = sum(int(limiter.limit) for limiter in self.hosts.values())
+        return (in_flight + len(self.queue)) / max(1, slots)
 
     def _dispatch(self, now):
         verdicts = []
         while len(self.queue):
-            claim = self.queue.pop(lambda each: self._choose(each, now) is not None)
+            claim = self.queue.pop(
+                lambda each: self._choose_target(each, now) is not None
+            )
             if claim is None:
                 break
-            verdicts.append(self._grant(claim, self._choose(claim, now), now))
+            verdicts.append(self._grant(claim, self._choose_target(claim, now), now))
         return verdicts
 
-    def _choose(self, claim, now):
+    def _choose_target(self, claim, now):
         free = [
             target
             for target in self._candidates(claim)
@@ -248,15 +261,15 @@
             return [pinned] if pinned else []
         return [
             target
-            for target in self._members.get(claim.service, ())
+            for target in self._service_targets.get(claim.service, ())
             if target.state is TargetState.ADMITTED
             and target.name not in claim.avoid
             and target.domain not in self.cut_off
         ]
 
     def _has_room(self, target, service, now):
-        allowance = self.hosts[target.host]
-        return allowance.room(service, self._reserved[target.host], now)
+        limiter = self.hosts[target.host]
+        return limiter.has_capacity(service, self._reserved[target.host], now)
 
     def _reservations(self, host):
         ceiling = self.hosts[host].ceiling
@@ -283,32 +296,33 @@
     def _reject(self, claim, reason):
         return Rejected(claim.ticket, reason, self.backlog_s(claim.service))
 
-    def _end(self, lease, outcome, now, max_age_s=0.0):
+    def _end_lease(self, lease, outcome, now, max_age_s=0.0):
         target = self.targets.get(lease.target)
         if target is None or target.host not in self.hosts:
             return
-        allowance = self.hosts[target.host]
+        limiter = self.hosts[target.host]
         if outcome is Outcome.LOST:
-            self._note_lost(lease, allowance, now)
+            self._record_loss(lease, limiter, now)
         else:
-            self._note(lease, allowance, outcome, now, max_age_s)
+            self._record_outcome(lease, limiter, outcome, now, max_age_s)
 
-    def _note_lost(self, lease, allowance, now):
-        """Tell whose fault a lost answer is.
+    def _record_loss(self, lease, limiter, now):
+        """Record a lost answer, and decide whether the target is the cause.
 
-        Not the target's if it has answered since; perhaps not the target's if
-        no other one has either, since then packets may get lost on the way.
+        A target that has answered since the request was sent is not blamed. If
+        no target has answered since, the network may have lost the packets, so
+        the target is only probed.
         """
         service = lease.claim.service
-        if allowance.heard_at >= lease.since:
-            allowance.cancelled(service, now)
-        elif self._heard_at >= lease.since:
-            allowance.lost(service, now)
+        if limiter.last_answer_at >= lease.since:
+            limiter.record_cancellation(service, now)
+        elif self._last_answer_at >= lease.since:
+            limiter.record_loss(service, now)
         else:
-            allowance.doubt(service, now)
+            limiter.probe_after_loss(service, now)
 
-    def _end_overdue(self, now):
-        """Free the slots of requests that have been without an answer too long."""
+    def _expire_leases(self, now):
+        """Free the slots whose leases have expired without an answer."""
         overdue = []
         for ticket, lease in self._leases.items():
             if now - lease.since < LEASE_MIN_S:
@@ -317,42 +331,46 @@
                 overdue.append(ticket)
         for ticket in overdue:
             lease = self._leases.pop(ticket)
-            self._overdue[ticket] = lease
-            self._end(lease, Outcome.LOST, now)
-        while len(self._overdue) > OVERDUE_MAX:
-            del self._overdue[next(iter(self._overdue))]
-
-    def _note_late(self, ticket, outcome, now):
-        """Learn from an answer that came after its slot was freed."""
-        lease = self._overdue.pop(ticket, None)
+            self._expired_leases[ticket] = lease
+            self._end_lease(lease, Outcome.LOST, now)
+        while len(self._expired_leases) > MAX_EXPIRED_LEASES:
+            del self._expired_leases[next(iter(self._expired_leases))]
+
+    def _record_late_answer(self, ticket, outcome, now):
+        """Use the latency of an answer that came after its lease expired."""
+        lease = self._expired_leases.pop(ticket, None)
         if lease is None or outcome is not Outcome.GOOD:
             return
-        times = self._times.setdefault(lease.claim.service, _ServiceTimes())
-        times.learn(now - lease.since)
+        average = self._service_times.setdefault(
+            lease.claim.service, _ServiceTimeAverage()
+        )
+        average.learn(now - lease.since)
 
     def _lease_s(self, service):
-        return max(LEASE_MIN_S, LEASE_TIMES * self._mean_s(service))
+        return max(LEASE_MIN_S, LEASE_SERVICE_TIMES * self._mean_service_s(service))
 
-    def _note(self, lease, allowance, outcome, now, max_age_s):
+    def _record_outcome(self, lease, limiter, outcome, now, max_age_s):
         if outcome in (Outcome.GOOD, Outcome.SHED, Outcome.FAILED):
-            allowance.heard_at = self._heard_at = now
+            limiter.last_answer_at = self._last_answer_at = now
         service = lease.claim.service
         latency_s = now - lease.since
         if outcome is Outcome.GOOD:
-            self._times.setdefault(service, _ServiceTimes()).learn(latency_s)
-            allowance.good(service, latency_s, self._peers_s(allowance), now)
+            self._service_times.setdefault(service, _ServiceTimeAverage()).learn(
+                latency_s
+            )
+            limiter.good(service, latency_s, self._peer_latency_s(limiter), now)
         elif outcome is Outcome.SHED:
-            allowance.shed(service, max_age_s, now)
+            limiter.record_shed(service, max_age_s, now)
         elif outcome is Outcome.FAILED:
-            allowance.failed(service, latency_s, now)
+            limiter.record_error(service, latency_s, now)
         else:
-            allowance.cancelled(service, now)
+            limiter.record_cancellation(service, now)
 
-    def _peers_s(self, allowance):
+    def _peer_latency_s(self, limiter):
         warm = [
             other.latency_s
             for other in self.hosts.values()
-            if other is not allowance and other.is_warm and other.latency_s
+            if other is not limiter and other.is_warm and other.latency_s
         ]
         return median(warm) if warm else 0.0
 
@@ -360,12 +378,12 @@
         ceilings = [self.hosts[host].ceiling for host in self._hosts_of(claim.service)]
         return QUEUE_PER_SLOT * sum(ceilings)
 
-    def _slots(self, service):
+    def _slot_count(self, service):
         return sum(int(self.hosts[host].limit) for host in self._hosts_of(service))
 
     def _hosts_of(self, service):
-        return {target.host for target in self._members.get(service, ())}
+        return {target.host for target in self._service_targets.get(service, ())}
 
-    def _mean_s(self, service):
-        times = self._times.get(service)
-        return times.mean_s if times else LATENCY_GUESS_S
+    def _mean_service_s(self, service):
+        average = self._service_times.get(service)
+        return average.mean_s if average else DEFAULT_LATENCY_S
