--- a/kumquatshift/engine/allowance.py
+++ b/kumquatshift/engine/allowance.py
@@ -11,7 +11,7 @@
 COLD_LIMIT = 1.0
 ANSWERS_PER_INCREASE = 8
 WARM_UP_S = 10.0
-PEER_LATENCY_FACTOR = 2.0
+NORMAL_LATENCY_FACTOR = 2.0
 
 #: A warm target turns cold when `JUMP_SLOW_ANSWERS` of its latest
 #: `JUMP_WINDOW_ANSWERS` answers took more than `LATENCY_JUMP_FACTOR` times the
@@ -149,8 +149,8 @@
     def probe_after_loss(self, service: str, now: float):
         """Record a lost answer for which the network may be the cause.
 
-        The target gets one request at a time until its next success. If that
-        is not slower than usual, the previous limit is restored.
+        The target gets one request at a time until its next success. If the
+        latency of that is close to the baseline, the previous limit is restored.
         """
         self._finish_request(service, 0.0, now)
         if not self.limit_before_probe:
@@ -203,7 +203,7 @@
         self.busy_updated_at = now
 
     def _end_probe(self, latency_s):
-        if latency_s <= PEER_LATENCY_FACTOR * self.baseline_s:
+        if latency_s <= NORMAL_LATENCY_FACTOR * self.baseline_s:
             self.limit = max(self.limit, self.limit_before_probe)
         self.limit_before_probe = 0.0
 
@@ -224,7 +224,7 @@
 
     def _seems_warm(self, peers_s, now):
         if peers_s:
-            return self.latency_s <= PEER_LATENCY_FACTOR * peers_s
+            return self.latency_s <= NORMAL_LATENCY_FACTOR * peers_s
         return now - self.since >= WARM_UP_S
 
     def _pause(self, pause_s, now):
--- a/kumquatshift/engine/datagrams.py
+++ b/kumquatshift/engine/datagrams.py
@@ -57,7 +57,7 @@
 def answer_packet(flow: bytes, payload: bytes) -> bytes:
     """Return a packet from the service's address to the caller of ``flow``.
 
-    The flow key consists of the caller's and the service's addresses, their
+    The flow key consists of the caller's and the service's addresses, the two
     ports and the protocol number, 13 bytes in all.
     """
     src, dst, sport, dport, _ = struct.unpack("!4s4sHHB", flow)
--- a/kumquatshift/engine/dispatch.py
+++ b/kumquatshift/engine/dispatch.py
@@ -23,9 +23,9 @@
 #: on another target.
 ATTEMPT_TIMEOUT_SHARE = 0.3
 
-#: A standby sees no notifications of a watch, so it keeps the watch for this
-#: multiple of the idle timeout.
-STANDBY_IDLE_TIMEOUT_FACTOR = 2
+#: A standby sees no traffic of a watch, so it keeps the watch for this multiple of
+#: the idle timeout.
+STANDBY_IDLE_FACTOR = 2
 
 SALT_RANGE = 1 << 32
 
@@ -280,11 +280,7 @@
 
     def _check_watch(self, exchange, now):
         profile = self.profile(exchange.service)
-        factor = (
-            1
-            if self.authority.is_primary(exchange.flow)
-            else STANDBY_IDLE_TIMEOUT_FACTOR
-        )
+        factor = 1 if self.authority.is_primary(exchange.flow) else STANDBY_IDLE_FACTOR
         timeout_s = profile.idle_timeout_s * factor
         if not exchange.is_watch:
             timeout_s = profile.request_timeout_s
--- a/kumquatshift/engine/request_router.py
+++ b/kumquatshift/engine/request_router.py
@@ -4,9 +4,9 @@
 holders, which adopt it, before the packet reaches a target or the caller. A
 holder that knows of a contradicting decision drops the packet.
 
-All requests of a service have the same holders, so a single entry grants the
-slots of the service's targets, and no slot is granted twice. `holders` selects
-them.
+All requests of a service have the same holders, so that a single entry grants
+the slots of the service's targets, and no two entries grant the same slot. The
+module `holders` selects the holders.
 """
 
 from .actions import Action, DropReason, SendCaller, SendPeer, SendTarget
@@ -84,7 +84,7 @@
         return self._holders.primary(view)
 
     def quiet_times_over(self, now: float) -> dict[str, bool]:
-        """Tell for each request service whether we know which requests are new."""
+        """Return, by request service, whether this entry can recognise new requests."""
         return {
             name: self._holders.quiet_time_over(view, now)
             for name, view in self._node.store.by_name.items()
--- a/kumquatshift/engine/slots.py
+++ b/kumquatshift/engine/slots.py
@@ -14,7 +14,7 @@
 from .objects import Priority, Profile, Target, TargetState
 from .priority import Claim, ClaimQueue
 
-QUEUE_PER_SLOT = 4
+QUEUED_CLAIMS_PER_SLOT = 4
 SERVICE_TIME_WEIGHT = 1 / 32
 RESERVED_SHARE_MAX = 0.75
 
@@ -82,7 +82,7 @@
 
 
 @dataclass(slots=True)
-class _ServiceTimeAverage:
+class _MeanServiceTime:
     mean_s: float = DEFAULT_LATENCY_S
     samples: int = 0
 
@@ -111,7 +111,7 @@
     _leases: dict[bytes, _Lease] = field(default_factory=dict)
     _expired_leases: dict[bytes, _Lease] = field(default_factory=dict)
     _last_answer_at: float = 0.0
-    _service_times: dict[str, _ServiceTimeAverage] = field(default_factory=dict)
+    _service_times: dict[str, _MeanServiceTime] = field(default_factory=dict)
     _service_targets: dict[str, list[Target]] = field(default_factory=dict)
     _reserved: dict[str, dict[str, int]] = field(default_factory=dict)
 
@@ -309,9 +309,9 @@
     def _record_loss(self, lease, limiter, now):
         """Record a lost answer, and decide whether the target is the cause.
 
-        A target that has answered since the request was sent is not blamed. If
-        no target has answered since, the network may have lost the packets, so
-        the target is only probed.
+        A target that has answered since the request was sent is not at fault. If
+        only other targets have answered since, it is; if none has, the network
+        may have lost the packets, so the target is probed.
         """
         service = lease.claim.service
         if limiter.last_answer_at >= lease.since:
@@ -327,7 +327,7 @@
         for ticket, lease in self._leases.items():
             if now - lease.since < LEASE_MIN_S:
                 break
-            if now - lease.since >= self._lease_s(lease.claim.service):
+            if now - lease.since >= self._lease_duration_s(lease.claim.service):
                 overdue.append(ticket)
         for ticket in overdue:
             lease = self._leases.pop(ticket)
@@ -342,11 +342,11 @@
         if lease is None or outcome is not Outcome.GOOD:
             return
         average = self._service_times.setdefault(
-            lease.claim.service, _ServiceTimeAverage()
+            lease.claim.service, _MeanServiceTime()
         )
         average.learn(now - lease.since)
 
-    def _lease_s(self, service):
+    def _lease_duration_s(self, service):
         return max(LEASE_MIN_S, LEASE_SERVICE_TIMES * self._mean_service_s(service))
 
     def _record_outcome(self, lease, limiter, outcome, now, max_age_s):
@@ -355,9 +355,7 @@
         service = lease.claim.service
         latency_s = now - lease.since
         if outcome is Outcome.GOOD:
-            self._service_times.setdefault(service, _ServiceTimeAverage()).learn(
-                latency_s
-            )
+            self._service_times.setdefault(service, _MeanServiceTime()).learn(latency_s)
             limiter.good(service, latency_s, self._peer_latency_s(limiter), now)
         elif outcome is Outcome.SHED:
             limiter.record_shed(service, max_age_s, now)
@@ -376,7 +374,7 @@
 
     def _queue_limit(self, claim):
         ceilings = [self.hosts[host].ceiling for host in self._hosts_of(claim.service)]
-        return QUEUE_PER_SLOT * sum(ceilings)
+        return QUEUED_CLAIMS_PER_SLOT * sum(ceilings)
 
     def _slot_count(self, service):
         return sum(int(self.hosts[host].limit) for host in self._hosts_of(service))
