--- a/kumquatshift/adapters/admin.py
+++ b/kumquatshift/adapters/admin.py
@@ -1,7 +1,7 @@
 """Admin port of every process: readiness, dump, metrics and versions.
 
-HTTP, read only. A page is made on the loop's one thread, so a dump is
-written piece by piece and packets go on between the pieces.
+HTTP, read only. Pages are rendered on the thread of the event loop, so a dump is
+written in chunks, and packets are handled between them.
 """
 
 import json
@@ -17,7 +17,7 @@
 
 from ..logs import Part, logger_for
 
-ITEMS_A_PIECE = 200
+ITEMS_PER_CHUNK = 200
 IDLE_TIMEOUT_S = 30
 PAGES = ("ready", "dump", "metrics", "versions")
 
@@ -25,14 +25,14 @@
 
 
 class AdminSource(Protocol):
-    """What a process shows on its admin port."""
+    """The content of a process's admin pages."""
 
     def ready(self) -> bool:
         """Whether the process takes traffic."""
         ...
 
     def dump(self) -> Mapping[str, Any]:
-        """Return the whole state, as JSON can tell it."""
+        """Return the whole state, with values that JSON can represent."""
         ...
 
     def metrics(self) -> str:
@@ -40,7 +40,7 @@
         ...
 
     def versions(self) -> Mapping[str, int]:
-        """Return the version in force of each object, by ``KIND/NAME``."""
+        """Return the current version of each object, by ``KIND/NAME``."""
         ...
 
 
@@ -51,10 +51,10 @@
     source: AdminSource,
     context: CertificateOptions | None = None,
 ) -> IListeningPort:
-    """Open the admin port; raises `CannotListenError` if it is taken.
+    """Open the admin port; raises `CannotListenError` if it is in use.
 
-    With ``context``, of `tls.admin_context`, it takes HTTPS from the holders of
-    a certificate only.
+    With ``context``, from `tls.admin_context`, it serves HTTPS, and only to
+    clients with a certificate.
     """
     site = Site(admin_root(source), timeout=IDLE_TIMEOUT_S)
     site.displayTracebacks = False
@@ -74,7 +74,7 @@
 
 
 class _Text:
-    """A text to answer with, and its status."""
+    """A plain-text response and its status."""
 
     def __init__(self, text: str, status: int = 200):
         self.text = text
@@ -88,25 +88,25 @@
 
 
 class _Index(Resource):
-    """Names the pages, at the root and for an unknown path."""
+    """Lists the pages at the root, and answers unknown paths with 404."""
 
     def getChild(self, path: bytes, request: Request) -> Resource:  # noqa: N802
-        return self if not path else _Page(_unknown)
+        return self if not path else _Page(_not_found)
 
     def render_GET(self, request: Request) -> bytes:  # noqa: N802
-        return _answer_text(request, _Text("".join(f"/{page}\n" for page in PAGES)))
+        return _respond(request, _Text("".join(f"/{page}\n" for page in PAGES)))
 
 
-def _unknown() -> _Text:
+def _not_found() -> _Text:
     known = ", ".join(f"/{page}" for page in PAGES)
     return _Text(f"no such page; there are {known}\n", 404)
 
 
 class _Leaf(Resource):
-    """A page without pages below it."""
+    """A page without subpages."""
 
     def getChild(self, path: bytes, request: Request) -> Resource:  # noqa: N802
-        return self if not path else _Page(_unknown)
+        return self if not path else _Page(_not_found)
 
 
 class _Page(_Leaf):
@@ -118,13 +118,13 @@
 
     def render_GET(self, request: Request) -> bytes:  # noqa: N802
         try:
-            return _answer_text(request, self._make())
+            return _respond(request, self._make())
         except Exception:
-            return _answer_failed(request)
+            return _respond_error(request)
 
 
 class _JsonPage(_Leaf):
-    """A JSON object, written one piece at a time."""
+    """A JSON object, written in chunks."""
 
     def __init__(self, make):
         super().__init__()
@@ -132,80 +132,80 @@
 
     def render_GET(self, request: Request) -> bytes | int:  # noqa: N802
         try:
-            pieces = json_pieces(self._make())
+            chunks = json_pieces(self._make())
         except Exception:
-            return _answer_failed(request)
+            return _respond_error(request)
         request.setHeader(b"content-type", b"application/json")
-        request.registerProducer(_PieceProducer(request, pieces), False)
+        request.registerProducer(_ChunkProducer(request, chunks), False)
         return NOT_DONE_YET
 
 
 @implementer(IPullProducer)
-class _PieceProducer:
-    """Writes the next piece whenever the connection has room for it."""
+class _ChunkProducer:
+    """Writes the next chunk whenever the connection can take it."""
 
-    def __init__(self, request: Request, pieces: Iterator[str]):
+    def __init__(self, request: Request, chunks: Iterator[str]):
         self._request = request
-        self._pieces = pieces
+        self._chunks = chunks
 
     def resumeProducing(self) -> None:  # noqa: N802
-        """Write one piece, or end the answer."""
+        """Write one chunk, or finish the response."""
         try:
-            piece = next(self._pieces, None)
+            chunk = next(self._chunks, None)
         except Exception:
-            self._break_off()
+            self._abort()
             return
-        if piece is not None:
-            self._request.write(piece.encode())
+        if chunk is not None:
+            self._request.write(chunk.encode())
             return
         self._request.unregisterProducer()
         self._request.finish()
 
     def stopProducing(self) -> None:  # noqa: N802
-        """Let the pieces go: the reader has left."""
-        self._pieces = iter(())
+        """Discard the remaining chunks: the client has disconnected."""
+        self._chunks = iter(())
 
-    def _break_off(self) -> None:
-        """Cut the connection: half a dump must not look like a whole one."""
-        log.exception("The page {} broke off.", self._request.path.decode())
+    def _abort(self) -> None:
+        """Abort the connection, so that a partial dump does not look complete."""
+        log.exception("Aborted the page {}.", self._request.path.decode())
         self._request.unregisterProducer()
         self._request.transport.abortConnection()
 
 
 def json_pieces(value: Mapping[str, Any]) -> Iterator[str]:
-    """Yield the JSON text of an object in pieces that each take little time."""
-    joint = "{"
+    """Yield the JSON text of an object in chunks that each take little time."""
+    separator = "{"
     for name, part in value.items():
-        yield joint + json.dumps(str(name)) + ": "
-        yield from _value_pieces(part)
-        joint = ",\n"
-    yield "{}\n" if joint == "{" else "}\n"
+        yield separator + json.dumps(str(name)) + ": "
+        yield from _value_chunks(part)
+        separator = ",\n"
+    yield "{}\n" if separator == "{" else "}\n"
 
 
-def _value_pieces(value: Any) -> Iterator[str]:
-    if isinstance(value, Mapping) and len(value) > ITEMS_A_PIECE:
+def _value_chunks(value: Any) -> Iterator[str]:
+    if isinstance(value, Mapping) and len(value) > ITEMS_PER_CHUNK:
         yield from _batched(list(value.items()), dict, "{", "}")
-    elif isinstance(value, list | tuple) and len(value) > ITEMS_A_PIECE:
+    elif isinstance(value, list | tuple) and len(value) > ITEMS_PER_CHUNK:
         yield from _batched(value, list, "[", "]")
     else:
         yield json.dumps(value, default=str)
 
 
 def _batched(items, form, opening: str, closing: str) -> Iterator[str]:
-    joint = opening
-    for start in range(0, len(items), ITEMS_A_PIECE):
-        batch = form(items[start : start + ITEMS_A_PIECE])
-        yield joint + json.dumps(batch, default=str)[1:-1]
-        joint = ", "
+    separator = opening
+    for start in range(0, len(items), ITEMS_PER_CHUNK):
+        batch = form(items[start : start + ITEMS_PER_CHUNK])
+        yield separator + json.dumps(batch, default=str)[1:-1]
+        separator = ", "
     yield closing
 
 
-def _answer_text(request: Request, answer: _Text) -> bytes:
+def _respond(request: Request, answer: _Text) -> bytes:
     request.setResponseCode(answer.status)
     request.setHeader(b"content-type", b"text/plain; charset=utf-8")
     return answer.text.encode()
 
 
-def _answer_failed(request: Request) -> bytes:
-    log.exception("The page {} failed.", request.path.decode(errors="replace"))
-    return _answer_text(request, _Text("the page failed\n", INTERNAL_SERVER_ERROR))
+def _respond_error(request: Request) -> bytes:
+    log.exception("Cannot render {}.", request.path.decode(errors="replace"))
+    return _respond(request, _Text("the page failed\n", INTERNAL_SERVER_ERROR))
--- a/kumquatshift/adapters/control.py
+++ b/kumquatshift/adapters/control.py
@@ -1,4 +1,4 @@
-"""gRPC between entries: fetch configuration, hand records over."""
+"""gRPC between entries: synchronise configuration, hand records over."""
 
 import json
 from collections.abc import Callable, Iterable
@@ -19,84 +19,84 @@
 
 
 class ControlServicer(rpc.ControlServicer):
-    """Answers the calls of other entries."""
+    """Serves the control calls of other entries."""
 
     def __init__(
         self,
         config_since: Callable[[tuple[int, ...]], Iterable[Versioned]],
-        take_records: Callable[[str, RecordBatch], None],
+        on_records: Callable[[str, RecordBatch], None],
     ):
         self._config_since = config_since
-        self._take_records = take_records
+        self._on_records = on_records
 
     async def Sync(self, request, context):  # noqa: N802
-        """Return the objects in the buckets that differ."""
+        """Return the objects in the buckets whose digests differ."""
         digests = tuple(request.digests)
         try:
             objects = self._config_since(digests)
         except IndexError:
-            text = "one digest for each bucket is needed"
+            text = "expected one digest for each bucket"
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, text)
         values = [json.dumps(object_to_json(obj)) for obj in objects]
         return pb.SyncReply(objects=values)
 
     async def Copy(self, request, context):  # noqa: N802
-        """Hold the records that a leaving entry hands over."""
+        """Take over the records of a leaving entry."""
         try:
             batch = decode_batch(request.records)
         except (ValueError, IndexError):
             text = "the columns of the records differ in length"
             await context.abort(grpc.StatusCode.INVALID_ARGUMENT, text)
-        self._take_records(request.sender, batch)
+        self._on_records(request.sender, batch)
         return pb.CopyReply()
 
 
 class ControlClient:
-    """Calls other entries; keeps one channel for each."""
+    """Makes control calls to other entries over one channel each."""
 
     def __init__(self, open_channel: Callable[[str], grpc.aio.Channel]):
         self._open_channel = open_channel
         self._stubs: dict[str, rpc.ControlStub] = {}
         self._channels: dict[str, grpc.aio.Channel] = {}
 
-    async def sync(self, place: str, digests: tuple[int, ...]) -> list[Versioned]:
-        """Return the objects that the entry at ``place`` has and we lack."""
+    async def sync(self, endpoint: str, digests: tuple[int, ...]) -> list[Versioned]:
+        """Return the objects of buckets in which the entry at ``endpoint`` differs."""
         request = pb.SyncRequest(digests=digests)
-        reply = await self._stub(place).Sync(request, timeout=CALL_TIMEOUT_S)
+        reply = await self._stub(endpoint).Sync(request, timeout=CALL_TIMEOUT_S)
         read = [object_from_json(json.loads(text)) for text in reply.objects]
         bad = [each for each in read if not is_successful(each)]
         if bad:
-            log.warning("{} objects from {} can not be read.", len(bad), place)
+            log.warning("Ignored {} invalid objects from {}.", len(bad), endpoint)
         return [each.unwrap() for each in read if is_successful(each)]
 
-    async def copy(self, place: str, sender: str, batch: RecordBatch) -> None:
-        """Hand records over; returns once the entry at ``place`` holds them."""
+    async def copy(self, endpoint: str, sender: str, batch: RecordBatch) -> None:
+        """Hand records over; returns once the entry at ``endpoint`` has them."""
         request = pb.CopyRequest(sender=sender, records=encode_batch(batch))
-        await self._stub(place).Copy(request, timeout=CALL_TIMEOUT_S)
+        await self._stub(endpoint).Copy(request, timeout=CALL_TIMEOUT_S)
 
     async def close(self) -> None:
         """Close all channels."""
         for channel in self._channels.values():
             await channel.close()
 
-    def _stub(self, place):
-        if place not in self._stubs:
-            self._channels[place] = self._open_channel(place)
-            self._stubs[place] = rpc.ControlStub(self._channels[place])
-        return self._stubs[place]
+    def _stub(self, endpoint):
+        if endpoint not in self._stubs:
+            self._channels[endpoint] = self._open_channel(endpoint)
+            self._stubs[endpoint] = rpc.ControlStub(self._channels[endpoint])
+        return self._stubs[endpoint]
 
 
 async def serve(
     servicer: ControlServicer,
-    place: str,
+    endpoint: str,
     credentials: grpc.ServerCredentials | None,
 ) -> grpc.aio.Server:
-    """Start the control port; an unencrypted one without credentials."""
+    """Start the control server, without TLS if ``credentials`` is None."""
     server = grpc.aio.server()
     rpc.add_ControlServicer_to_server(servicer, server)
     if credentials is None:
-        server.add_insecure_port(place)
+        server.add_insecure_port(endpoint)
     else:
-        server.add_secure_port(place, credentials)
+        server.add_secure_port(endpoint, credentials)
     await server.start()
     return server
--- a/kumquatshift/adapters/datagrams.py
+++ b/kumquatshift/adapters/datagrams.py
@@ -1,4 +1,4 @@
-"""The entry's two UDP ports: packets of the fabric, and messages of peers."""
+"""The UDP ports of an entry: packets from the fabric, messages from peers."""
 
 from collections.abc import Callable, Collection
 from typing import Protocol
@@ -10,8 +10,8 @@
 from .envelope import MalformedEnvelopeError, decode
 
 
-class Sealing(Protocol):
-    """Seals datagrams with a keyed digest; `kumquatshift.keys.Sealer` fits."""
+class DatagramSealer(Protocol):
+    """Seals datagrams with a keyed digest; see `kumquatshift.keys.Sealer`."""
 
     def seal(self, data: bytes) -> bytes:
         """Return the data with its digest."""
@@ -23,42 +23,42 @@
 
 
 class PacketPort(DatagramProtocol):
-    """Takes encapsulated packets, from the fabric's addresses only.
+    """Receives encapsulated packets, from the fabric's addresses only.
 
-    ``take`` gets the caller's or the target's IP packet; ``refuse`` is told why
-    a datagram was dropped.
+    ``deliver`` gets the IP packet of the caller or the target; ``on_drop`` gets
+    the reason why a datagram was dropped, and its source address.
     """
 
     def __init__(
         self,
         sources: Collection[str],
-        take: Callable[[bytes], None],
-        refuse: Callable[[DropReason, str], None],
+        deliver: Callable[[bytes], None],
+        on_drop: Callable[[DropReason, str], None],
     ):
-        self._sources = frozenset(sources)
-        self._take = take
-        self._refuse = refuse
+        self._allowed_sources = frozenset(sources)
+        self._deliver = deliver
+        self._on_drop = on_drop
 
     def datagramReceived(self, datagram, addr):  # noqa: N802
-        """Take one packet, or drop that of a stranger."""
-        if addr[0] not in self._sources:
-            self._refuse(DropReason.STRANGER, addr[0])
+        """Deliver one packet, or drop it if its source is not allowed."""
+        if addr[0] not in self._allowed_sources:
+            self._on_drop(DropReason.STRANGER, addr[0])
             return
-        self._take(datagram)
+        self._deliver(datagram)
 
 
 class PeerPort(DatagramProtocol):
-    """Takes and sends sealed messages between entries."""
+    """Sends and receives sealed messages between entries."""
 
     def __init__(
         self,
-        sealer: Sealing,
-        take: Callable[[str, Message], None],
-        refuse: Callable[[DropReason, str], None],
+        sealer: DatagramSealer,
+        deliver: Callable[[str, Message], None],
+        on_drop: Callable[[DropReason, str], None],
     ):
         self._sealer = sealer
-        self._take = take
-        self._refuse = refuse
+        self._deliver = deliver
+        self._on_drop = on_drop
 
     def send(self, encoded: bytes, host: str, port: int) -> int:
         """Send an encoded message; return the size of the datagram in bytes."""
@@ -67,14 +67,14 @@
         return len(sealed)
 
     def datagramReceived(self, datagram, addr):  # noqa: N802
-        """Take one message if it is authentic and can be read."""
+        """Deliver one message, or drop it if it is not authentic or malformed."""
         opened = self._sealer.open(datagram)
         if opened is None:
-            self._refuse(DropReason.NOT_AUTHENTIC, addr[0])
+            self._on_drop(DropReason.NOT_AUTHENTIC, addr[0])
             return
         try:
             sender, message = decode(opened)
         except MalformedEnvelopeError:
-            self._refuse(DropReason.MALFORMED, addr[0])
+            self._on_drop(DropReason.MALFORMED, addr[0])
             return
-        self._take(sender, message)
+        self._deliver(sender, message)
--- a/kumquatshift/adapters/driver.py
+++ b/kumquatshift/adapters/driver.py
@@ -1,4 +1,4 @@
-"""Carry out what an entry's engine decides, on the network."""
+"""Runs the engine of an entry on real sockets and timers."""
 
 import asyncio
 import time
@@ -29,12 +29,12 @@
 from ..platform_port import Vm as PlatformVm, VmState
 from ..settings import EntrySettings
 from .control import ControlClient, ControlServicer
-from .datagrams import PacketPort, PeerPort, Sealing
+from .datagrams import DatagramSealer, PacketPort, PeerPort
 from .envelope import encode
 from .watcher import PlatformWatch, VmPoller
 
-MERGE_DELAY_S = 0.01
-QUIET_S = 1.0
+COALESCE_S = 0.01
+DRAIN_QUIET_S = 1.0
 DRAIN_CHECK_S = 0.2
 ENTRY_ROLE = "entry"
 
@@ -42,14 +42,17 @@
 
 
 class EntryDriver:
-    """One entry's engine on real ports; also what its admin port shows."""
+    """Executes the actions of an entry's engine, and feeds it with events.
+
+    It is also the source of the pages of the admin port.
+    """
 
     def __init__(
         self,
         cfg: EntrySettings,
         engine: EntryEngine,
         reactor,
-        sealer: Sealing,
+        sealer: DatagramSealer,
         control: ControlClient,
     ):
         self._cfg = cfg
@@ -62,56 +65,61 @@
             "kumquatshift_drops_total", "Packets that went no further.", DropReason
         )
         self._wire_bytes: dict[str, int] = {}
-        self._limited = RateLimited(logger_for(Part.PACKETS), reactor)
-        self._calls_limited = RateLimited(logger_for(Part.CONTROL), reactor)
+        self._packet_log = RateLimited(logger_for(Part.PACKETS), reactor)
+        self._call_log = RateLimited(logger_for(Part.CONTROL), reactor)
         self._packets = PacketPort(
-            cfg.fabric.allowed_sources, self._take_packet, self._refuse
+            cfg.fabric.allowed_sources, self._on_packet, self._record_drop
         )
-        self._peers = PeerPort(sealer, self._take_message, self._refuse)
+        self._peers = PeerPort(sealer, self._on_message, self._record_drop)
         self._watch: PlatformWatch | None = None
         self._poller: VmPoller | None = None
-        self._arrived: list[Versioned] = []
+        self._collected: list[Versioned] = []
         self._syncing: set[str] = set()
         self._ticker = task.LoopingCall(self._tick)
         self._ticker.clock = reactor
         self._request_ticker = task.LoopingCall(self._request_tick)
         self._request_ticker.clock = reactor
-        self._show_gauges()
+        self._register_gauges()
 
     def start(self) -> None:
-        """Open the UDP ports and begin to take part."""
+        """Open the UDP ports and start the timers."""
         entry = self._cfg.entry
         listen = self._reactor.listenUDP
         listen(entry.packet_port, self._packets, entry.address, maxPacketSize=65535)
         listen(entry.peer_port, self._peers, entry.address, maxPacketSize=65535)
         self._ticker.start(TICK_S)
         self._request_ticker.start(REQUEST_TICK_S)
-        log.info("{} starts in {}.", entry.name, entry.domain)
+        log.info("Entry {} started in domain {}.", entry.name, entry.domain)
 
     def use_platform(self, platform) -> None:
-        """Take configuration and VMs from the platform while we are a reader."""
+        """Set the platform from which objects and VMs are read.
+
+        It is read only while the engine asks for it (`WatchPlatform`).
+        """
         known = self._engine.node.store.objects
-        self._watch = PlatformWatch(platform, self._reactor, self._arrive, known)
-        self._poller = VmPoller(platform, self._reactor, self._take_vms)
+        self._watch = PlatformWatch(
+            platform, self._reactor, self._collect_object, known
+        )
+        self._poller = VmPoller(platform, self._reactor, self._on_vms)
 
     def servicer(self) -> ControlServicer:
-        """Return what answers the control calls of other entries."""
-        return ControlServicer(self._engine.config_since, self._take_message)
+        """Return the gRPC servicer for control calls of other entries."""
+        return ControlServicer(self._engine.config_since, self._on_message)
 
     def drain(self) -> Deferred:
-        """Leave: hand flows over and go on relaying until nothing comes.
+        """Leave: hand flows over, and relay packets until none arrive.
 
-        Fires when done, or when the time allowed for it has passed.
+        The result fires when the entry is drained, or after ``drain_s``.
         """
-        log.info("{} leaves and hands its flows over.", self._cfg.entry.name)
-        self._carry_out(self._engine.leave())
+        log.info("Entry {} is leaving; handing over its flows.", self._cfg.entry.name)
+        self._execute(self._engine.leave())
         done = Deferred()
         deadline = self._reactor.seconds() + self._cfg.timers.drain_s
         self._check_drained(done, deadline)
         return done
 
     def ready(self) -> bool:
-        """Whether the fabric should hand packets to this entry."""
+        """Whether the fabric should send packets to this entry."""
         return self._engine.ready
 
     def dump(self) -> dict:
@@ -127,10 +135,10 @@
         return self._metrics.page()
 
     def versions(self) -> dict[str, int]:
-        """Return the version in force of each object."""
+        """Return the current version of each object."""
         return self._engine.node.store.versions()
 
-    def _show_gauges(self):
+    def _register_gauges(self):
         node = self._engine.node
         gauges: tuple[tuple[str, str, Callable[[], float]], ...] = (
             ("kumquatshift_flows", "Flows held.", lambda: len(node.flows)),
@@ -148,27 +156,27 @@
         for name, text, read in gauges:
             self._metrics.gauge(name, text, read)
 
-    def _take_packet(self, data):
-        self._carry_out(self._engine.packet(data))
+    def _on_packet(self, data):
+        self._execute(self._engine.packet(data))
 
-    def _take_message(self, peer, message):
-        self._carry_out(self._engine.message(peer, message))
+    def _on_message(self, peer, message):
+        self._execute(self._engine.message(peer, message))
 
-    def _refuse(self, reason, source):
+    def _record_drop(self, reason, source):
         self._drops.add(reason)
-        self._limited.warning(
-            reason, "A datagram from {} was dropped: {}.", source, reason.value
+        self._packet_log.warning(
+            reason, "Dropped a datagram from {}: {}.", source, reason.value
         )
 
     def _tick(self):
         for profile, seconds in self._engine.latencies():
             self._metrics.record_latency(profile, seconds)
-        self._carry_out(self._engine.tick())
+        self._execute(self._engine.tick())
 
     def _request_tick(self):
-        self._carry_out(self._engine.request_tick())
+        self._execute(self._engine.request_tick())
 
-    def _carry_out(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         for action in actions:
             kind = type(action)
             if kind is SendTarget:
@@ -182,7 +190,7 @@
             elif kind is SyncConfig:
                 self._start_sync(action.peer)
             elif kind is WatchPlatform:
-                self._hold_watch(action.hold)
+                self._set_watch_active(action.hold)
 
     def _send_peer(self, peer: str, message: Message) -> None:
         member = self._engine.node.members.members.get(peer)
@@ -191,15 +199,17 @@
             return
         leaving = self._engine.node.state is EntryState.LEAVING
         if leaving and isinstance(message, RecordBatch):
-            self._hand_over(member.address, message)
+            self._transfer_records(member.address, message)
             return
         encoded = encode(self._cfg.entry.name, message)
         size = self._peers.send(encoded, member.address, self._cfg.entry.peer_port)
         kind = type(message).__name__
         self._wire_bytes[kind] = self._wire_bytes.get(kind, 0) + size
 
-    def _hand_over(self, address, batch):
-        call = self._control.copy(self._place(address), self._cfg.entry.name, batch)
+    def _transfer_records(self, address, batch):
+        call = self._control.copy(
+            self._control_endpoint(address), self._cfg.entry.name, batch
+        )
         self._run_call(call, address)
 
     def _start_sync(self, peer):
@@ -207,62 +217,64 @@
         if member is None or peer in self._syncing:
             return
         self._syncing.add(peer)
-        self._run_call(self._sync(peer, self._place(member.address)), peer)
+        self._run_call(self._sync(peer, self._control_endpoint(member.address)), peer)
 
-    async def _sync(self, peer, place):
+    async def _sync(self, peer, endpoint):
         digests = self._engine.node.store.bucket_digests()
         try:
-            objects = await self._control.sync(place, digests)
+            objects = await self._control.sync(endpoint, digests)
         finally:
             self._syncing.discard(peer)
-        self._carry_out(self._engine.objects(objects))
+        self._execute(self._engine.objects(objects))
 
     def _run_call(self, call, peer):
         fut = asyncio.ensure_future(call)
-        fut.add_done_callback(lambda done: self._call_ended(done, peer))
+        fut.add_done_callback(lambda done: self._on_call_done(done, peer))
 
-    def _call_ended(self, fut, peer):
+    def _on_call_done(self, fut, peer):
         if fut.cancelled() or fut.exception() is None:
             return
         exc = fut.exception()
-        told = exc.code().name if isinstance(exc, grpc.RpcError) else repr(exc)
-        self._calls_limited.warning(peer, "A call to {} failed: {}.", peer, told)
+        reason_text = exc.code().name if isinstance(exc, grpc.RpcError) else repr(exc)
+        self._call_log.warning(
+            peer, "Control call to {} failed: {}.", peer, reason_text
+        )
 
-    def _place(self, address):
+    def _control_endpoint(self, address):
         return f"{address}:{self._cfg.entry.control_port}"
 
-    def _hold_watch(self, hold):
+    def _set_watch_active(self, hold):
         if self._watch is not None:
             self._watch.hold(hold)
             self._poller.hold(hold)
 
-    def _arrive(self, obj):
-        """Gather objects that come together, so that peers are told once."""
-        if not self._arrived:
-            self._reactor.callLater(MERGE_DELAY_S, self._merge_arrived)
-        self._arrived.append(obj)
+    def _collect_object(self, obj):
+        """Collect objects for a short time, so that peers are notified once."""
+        if not self._collected:
+            self._reactor.callLater(COALESCE_S, self._merge_collected)
+        self._collected.append(obj)
 
-    def _merge_arrived(self):
-        objects, self._arrived = self._arrived, []
-        self._carry_out(self._engine.objects(objects))
+    def _merge_collected(self):
+        objects, self._collected = self._collected, []
+        self._execute(self._engine.objects(objects))
 
-    def _take_vms(self, vms: tuple[PlatformVm, ...]) -> None:
+    def _on_vms(self, vms: tuple[PlatformVm, ...]) -> None:
         entries = [
             Vm(vm.name, vm.domain, vm.address, vm.state is VmState.LEAVING)
             for vm in vms
             if vm.role == ENTRY_ROLE
         ]
-        self._carry_out(self._engine.vms(entries))
+        self._execute(self._engine.vms(entries))
 
     def _check_drained(self, done, deadline):
         now = self._reactor.seconds()
-        if self._engine.drained(QUIET_S) or now >= deadline:
-            log.info("{} has handed over and ends.", self._cfg.entry.name)
+        if self._engine.drained(DRAIN_QUIET_S) or now >= deadline:
+            log.info("Entry {} has handed over; exiting.", self._cfg.entry.name)
             done.callback(None)
             return
         self._reactor.callLater(DRAIN_CHECK_S, self._check_drained, done, deadline)
 
 
 def new_incarnation() -> int:
-    """Return a number that grows with each start of an entry."""
+    """Return a number that increases with each start of an entry."""
     return time.time_ns() // 1_000_000
--- a/kumquatshift/adapters/entry_metrics.py
+++ b/kumquatshift/adapters/entry_metrics.py
@@ -1,8 +1,8 @@
-"""Metrics and dump of an entry with direct return, for its pages.
+"""The metrics and dump pages of an entry with direct return.
 
-Loaded when a page is first asked for: the libraries take longer to import than
-the rest of an entry, and nothing of them is needed to forward a packet. Until
-then counts are plain numbers, and times wait in bounded queues.
+Imported on the first request for a page: the libraries take longer to import than
+the rest of an entry, and forwarding packets needs none of them. Until then counts
+are plain integers, and times wait in bounded queues.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from ..direct.site import Site
 from ..direct.steering import Steering
 from ..eventlog import EventLog
-from ..metrics import CounterValues, Metrics, MetricsSnapshot, page_of
+from ..metrics import CounterValues, Metrics, MetricsSnapshot, render_page
 
 ANSWERS = "first-answer"
 STORE_LISTS = "store-list"
@@ -27,8 +27,8 @@
 class Sources:
     """Where an entry's metrics are read from.
 
-    ``store_outcomes`` and ``drain_times`` are read anew for each page; the
-    times of each name are handed over once.
+    ``store_outcomes`` and ``drain_times`` are called for each page; the latter
+    returns each time only once.
     """
 
     name: str
@@ -44,7 +44,7 @@
 
 
 class EntryMetrics:
-    """The metrics of one entry, as pages."""
+    """Renders the metrics and the state of one entry."""
 
     def __init__(self, clock, sources: Sources):
         self._clock = clock
@@ -53,13 +53,13 @@
         self._add_gauges()
 
     def metrics_page(self) -> bytes:
-        """Return all metrics in the text format that Prometheus reads."""
+        """Return all metrics in the text format of Prometheus."""
         for name, times in self._sources.drain_times().items():
             for seconds in times:
                 self._metrics.record_latency(name, seconds)
         snapshot = self._metrics.snapshot()
         counters = (*self._counters(), *snapshot.counters)
-        return page_of(
+        return render_page(
             MetricsSnapshot(counters, snapshot.gauges, snapshot.latencies)
         ).encode()
 
@@ -77,8 +77,8 @@
             },
             "evacuated": sorted(src.site.placement.evacuated),
             "flows": len(src.steering.flows),
-            "feeds": {kind: _feed(feed, now) for kind, feed in src.feeds.items()},
-            "targets": {t.name: _target(t, now) for t in src.site.targets},
+            "feeds": {kind: _feed_state(feed, now) for kind, feed in src.feeds.items()},
+            "targets": {t.name: _target_state(t, now) for t in src.site.targets},
             "events": {event.value: n for event, n in src.log.counts.items() if n},
         }
         return json.dumps(state, indent=1).encode()
@@ -136,7 +136,7 @@
             )
 
 
-def _feed(feed: Feed, now: float) -> dict:
+def _feed_state(feed: Feed, now: float) -> dict:
     tick = feed.tick(now)
     return {
         "current": feed.is_current,
@@ -146,7 +146,7 @@
     }
 
 
-def _target(target, now: float) -> dict:
+def _target_state(target, now: float) -> dict:
     return {
         "service": target.service,
         "domain": target.domain,
--- a/kumquatshift/adapters/envelope.py
+++ b/kumquatshift/adapters/envelope.py
@@ -1,4 +1,4 @@
-"""Messages between entries as protobuf bytes, and back."""
+"""Encodes and decodes messages between entries with protobuf."""
 
 from ..engine.messages import (
     Direction,
@@ -15,48 +15,48 @@
 
 
 class MalformedEnvelopeError(ValueError):
-    """The bytes are authentic but no envelope of this version."""
+    """The bytes are authentic, but not a valid envelope of this version."""
 
 
 def encode(sender: str, message: Message) -> bytes:
-    """Return the bytes of a message from the entry ``sender``."""
-    field, write = _WRITERS[type(message)]
-    envelope = pb.Envelope(sender=sender, **{field: write(message)})
+    """Encode a message from the entry ``sender``."""
+    field, encode_body = _ENCODERS[type(message)]
+    envelope = pb.Envelope(sender=sender, **{field: encode_body(message)})
     return envelope.SerializeToString()
 
 
 def decode(data: bytes) -> tuple[str, Message]:
-    """Return sender and message; raise `MalformedEnvelopeError` for anything else."""
+    """Decode sender and message; raises `MalformedEnvelopeError`."""
     try:
         envelope = pb.Envelope.FromString(data)
         kind = envelope.WhichOneof("body")
         if kind is not None:
-            return envelope.sender, _READERS[kind](envelope)
+            return envelope.sender, _DECODERS[kind](envelope)
     except Exception as exc:
-        # Protobuf's own error type differs between its implementations.
+        # The error type of protobuf differs between its implementations.
         raise MalformedEnvelopeError(str(exc)) from exc
     raise MalformedEnvelopeError("the envelope is empty")
 
 
 def encode_batch(batch: RecordBatch) -> pb.RecordBatch:
-    """Return records in columns, grouped by service."""
+    """Encode records in columns, grouped by service."""
     by_service: dict[int, list[Record]] = {}
     for record in batch.records:
         by_service.setdefault(record.service, []).append(record)
-    groups = [_group(service, rows) for service, rows in by_service.items()]
+    groups = [_encode_group(service, rows) for service, rows in by_service.items()]
     return pb.RecordBatch(groups=groups)
 
 
 def decode_batch(batch: pb.RecordBatch) -> RecordBatch:
-    """Return the records of a batch.
+    """Decode the records of a batch.
 
-    Raises ValueError or IndexError if the columns do not fit each other.
+    Raises ValueError or IndexError if the columns do not match each other.
     """
-    records = [record for group in batch.groups for record in _read_group(group)]
+    records = [record for group in batch.groups for record in _decode_group(group)]
     return RecordBatch(tuple(records))
 
 
-def _group(service, rows):
+def _encode_group(service, rows):
     targets = sorted({row.target for row in rows})
     index = {name: number for number, name in enumerate(targets)}
     first = min(row.born_ms for row in rows)
@@ -68,7 +68,7 @@
         first_born_ms=first,
         born_after_ms=[row.born_ms - first for row in rows],
     )
-    # Columns without a value in any row are left out.
+    # A column in which every row has the default value is omitted.
     if any(row.epoch for row in rows):
         group.epochs.extend(row.epoch for row in rows)
     if any(row.tentative for row in rows):
@@ -78,7 +78,7 @@
     return group
 
 
-def _read_group(group):
+def _decode_group(group):
     size = len(group.keys)
     columns = (
         group.keys,
@@ -92,11 +92,11 @@
         target = group.targets[index]
         born_ms = group.first_born_ms + after
         if not 0 <= born_ms <= MAX_BORN_MS:
-            raise ValueError("a record's birth is out of range")
+            raise ValueError(f"born_ms is out of range: {born_ms}")
         yield Record(key, target, group.service, born_ms, epoch, tentative, detail)
 
 
-def _relay(relay):
+def _encode_relay(relay):
     message = pb.Relay(
         data=relay.data,
         direction=relay.direction,
@@ -117,7 +117,7 @@
     return message
 
 
-def _read_relay(envelope):
+def _decode_relay(envelope):
     message = envelope.relay
     record = None
     if message.HasField("record"):
@@ -142,7 +142,7 @@
     )
 
 
-def _heartbeat(beat):
+def _encode_heartbeat(beat):
     return pb.Heartbeat(
         domain=beat.domain,
         incarnation=beat.incarnation,
@@ -154,7 +154,7 @@
     )
 
 
-def _read_heartbeat(envelope):
+def _decode_heartbeat(envelope):
     beat = envelope.heartbeat
     return Heartbeat(
         envelope.sender,
@@ -168,18 +168,18 @@
     )
 
 
-def _read_records(envelope):
+def _decode_records(envelope):
     return decode_batch(envelope.records)
 
 
-_WRITERS = {
-    Relay: ("relay", _relay),
+_ENCODERS = {
+    Relay: ("relay", _encode_relay),
     RecordBatch: ("records", encode_batch),
-    Heartbeat: ("heartbeat", _heartbeat),
+    Heartbeat: ("heartbeat", _encode_heartbeat),
 }
 
-_READERS = {
-    "relay": _read_relay,
-    "records": _read_records,
-    "heartbeat": _read_heartbeat,
+_DECODERS = {
+    "relay": _decode_relay,
+    "records": _decode_records,
+    "heartbeat": _decode_heartbeat,
 }
--- a/kumquatshift/adapters/epoll.py
+++ b/kumquatshift/adapters/epoll.py
@@ -1,9 +1,9 @@
 """A small event loop on epoll with the interface of Twisted's reactor.
 
-It has what direct return needs of `IReactorTime`, `IReactorFDSet` and
-`IReactorCore`, under the same names, so that Twisted's `Clock` and reactors can
-take its place. Twisted's own reactor takes several times as long to import as
-all the rest of such an entry; docs/DESIGN.md has the figures.
+It implements what direct return needs of `IReactorTime`, `IReactorFDSet` and
+`IReactorCore` under the same names, so that Twisted's `Clock` and reactors can
+replace it. Twisted's own reactor takes several times as long to import as all
+the rest of such an entry; docs/DESIGN.md has the figures.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 import time
 from collections.abc import Callable
 
-# Signals wake the loop through a pipe; this is only a safety net.
-LONGEST_WAIT_S = 10.0
+# Signals wake the loop through a socket pair; this is only a safety net.
+MAX_WAIT_S = 10.0
 
 
 class Descriptor:
-    """Base of what a reactor reads from or writes to, Twisted's included."""
+    """Base class of file descriptors for this reactor and those of Twisted."""
 
     def logPrefix(self) -> str:  # noqa: N802
-        """Name the descriptor where the reactor tells of it."""
+        """Return the name of the descriptor in the reactor's log lines."""
         return type(self).__name__
 
     def connectionLost(self, reason: object) -> None:  # noqa: N802
-        """Pass over it: reading and writing show a lost connection."""
+        """Do nothing: `doRead` and `doWrite` detect a lost connection."""
 
 
 class DelayedCall:
-    """A call to be made later, unless it is cancelled."""
+    """A scheduled call, which can be cancelled."""
 
     __slots__ = ("args", "call", "is_over", "order", "time")
 
@@ -47,18 +47,18 @@
         return (self.time, self.order) < (other.time, other.order)
 
     def cancel(self) -> None:
-        """Do not make the call."""
+        """Cancel the call."""
         self.is_over = True
 
     def active(self) -> bool:
-        """Tell whether the call is still to be made."""
+        """Return whether the call is still pending."""
         return not self.is_over
 
 
 class EpollReactor:
-    """One loop on one thread: readers, writers, delayed calls and signals.
+    """An event loop on one thread: readers, writers, delayed calls and signals.
 
-    ``on_error`` is told of errors that a call did not handle; without it they
+    ``on_error`` gets the exceptions that a call did not handle; without it they
     end the loop.
     """
 
@@ -75,34 +75,34 @@
         self._is_running = False
 
     def callLater(self, delay: float, call: Callable, *args) -> DelayedCall:  # noqa: N802
-        """Make ``call(*args)`` once, ``delay`` seconds from now."""
+        """Call ``call(*args)`` once, ``delay`` seconds from now."""
         self._order += 1
         delayed = DelayedCall(self.seconds() + delay, self._order, call, args)
         heapq.heappush(self._calls, delayed)
         return delayed
 
     def addReader(self, reader) -> None:  # noqa: N802
-        """Call ``reader.doRead()`` whenever there is something to read."""
+        """Call ``reader.doRead()`` whenever its descriptor is readable."""
         self._readers[reader.fileno()] = reader
         self._register(reader.fileno())
 
     def addWriter(self, writer) -> None:  # noqa: N802
-        """Call ``writer.doWrite()`` whenever there is room to write."""
+        """Call ``writer.doWrite()`` whenever its descriptor is writable."""
         self._writers[writer.fileno()] = writer
         self._register(writer.fileno())
 
     def removeReader(self, reader) -> None:  # noqa: N802
-        """Stop reading."""
+        """Stop calling ``reader.doRead()``."""
         if self._readers.pop(reader.fileno(), None) is not None:
             self._register(reader.fileno())
 
     def removeWriter(self, writer) -> None:  # noqa: N802
-        """Stop writing."""
+        """Stop calling ``writer.doWrite()``."""
         if self._writers.pop(writer.fileno(), None) is not None:
             self._register(writer.fileno())
 
     def on_signal(self, number: int, call: Callable[[], None]) -> None:
-        """Make ``call()`` from the loop when a signal comes."""
+        """Call ``call()`` from the loop when the process receives a signal."""
         signal.signal(number, lambda *_: self.callLater(0, call))
 
     def run(self) -> None:
@@ -112,39 +112,39 @@
         while self._is_running:
             for fd, events in self._epoll.poll(self._wait_s()):
                 self._dispatch(fd, events)
-            self._make_due_calls()
+            self._run_due_calls()
         waker.close()
 
     def stop(self) -> None:
-        """End `run` after the present turn."""
+        """Make `run` return after the current iteration."""
         self._is_running = False
 
     def _wait_s(self) -> float:
         while self._calls and self._calls[0].is_over:
             heapq.heappop(self._calls)
         if not self._calls:
-            return LONGEST_WAIT_S
+            return MAX_WAIT_S
         wait_s = self._calls[0].time - self.seconds()
-        return min(LONGEST_WAIT_S, max(0.0, wait_s))
+        return min(MAX_WAIT_S, max(0.0, wait_s))
 
     def _dispatch(self, fd: int, events: int) -> None:
         reader = self._readers.get(fd)
         if reader is not None and events & ~select.EPOLLOUT:
-            self._make(reader.doRead)
+            self._invoke(reader.doRead)
         writer = self._writers.get(fd)
         if writer is not None and events & ~select.EPOLLIN:
-            self._make(writer.doWrite)
+            self._invoke(writer.doWrite)
 
-    def _make_due_calls(self) -> None:
+    def _run_due_calls(self) -> None:
         now = self.seconds()
         while self._calls and self._calls[0].time <= now:
             delayed = heapq.heappop(self._calls)
             if not delayed.is_over:
                 delayed.is_over = True
-                self._make(delayed.call, *delayed.args)
+                self._invoke(delayed.call, *delayed.args)
 
-    def _make(self, call: Callable, *args) -> None:
-        """Make a call; a fault in it is told and does not end the others."""
+    def _invoke(self, call: Callable, *args) -> None:
+        """Make a call; its exception goes to `on_error` and does not end the loop."""
         try:
             call(*args)
         except Exception as exc:
@@ -167,22 +167,22 @@
 
 
 class _Waker(Descriptor):
-    """Ends the wait for events when a signal comes."""
+    """Wakes the loop from its wait for events when a signal arrives."""
 
     def __init__(self, reactor: EpollReactor):
-        self._reading, self._writing = socket.socketpair()
-        self._reading.setblocking(False)
-        self._writing.setblocking(False)
-        signal.set_wakeup_fd(self._writing.fileno(), warn_on_full_buffer=False)
+        self._receiver, self._sender = socket.socketpair()
+        self._receiver.setblocking(False)
+        self._sender.setblocking(False)
+        signal.set_wakeup_fd(self._sender.fileno(), warn_on_full_buffer=False)
         reactor.addReader(self)
 
     def fileno(self) -> int:
-        return self._reading.fileno()
+        return self._receiver.fileno()
 
     def doRead(self) -> None:  # noqa: N802
         os.read(self.fileno(), 4096)
 
     def close(self) -> None:
         signal.set_wakeup_fd(-1)
-        self._reading.close()
-        self._writing.close()
+        self._receiver.close()
+        self._sender.close()
--- a/kumquatshift/adapters/http.py
+++ b/kumquatshift/adapters/http.py
@@ -1,4 +1,4 @@
-"""What the HTTP clients of the system share."""
+"""Shared helpers of the Twisted HTTP clients."""
 
 from twisted.internet import defer
 from twisted.internet.defer import Deferred
@@ -7,25 +7,25 @@
 
 
 def limit(fut: Deferred, seconds: float, reactor) -> Deferred:
-    """Make a call fail with `twisted.internet.defer.TimeoutError` in time.
+    """Make a call fail with `twisted.internet.defer.TimeoutError` after a time.
 
-    The agent wraps the cancellation in errors of its own; a plain time-out is
-    what callers look for.
+    The agent wraps the cancellation in errors of its own, which this replaces:
+    callers check for a plain time-out.
     """
 
     def late(value, _):
         if isinstance(value, Failure):
-            raise defer.TimeoutError(f"no answer in {seconds:g} s")
+            raise defer.TimeoutError(f"no answer within {seconds:g} s")
         return value
 
     return fut.addTimeout(seconds, reactor, late)
 
 
 def told(reason: Failure) -> str:
-    """Return what went wrong with a call, in a few words."""
+    """Return a short text for the failure of a call."""
     exc = reason.value
     if reason.check(defer.CancelledError):
-        return "given up"
+        return "cancelled"
     if isinstance(exc, ResponseFailed) and exc.reasons:
         exc = exc.reasons[0].value
     return str(exc).rstrip(".") or type(exc).__name__
--- a/kumquatshift/adapters/http_call.py
+++ b/kumquatshift/adapters/http_call.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 calls, one at a time on one connection that is kept open.
+"""An HTTP/1.1 client that makes one call at a time on a keep-alive connection.
 
-Every call ends: with an answer, or with the reason why there is none. A
-connection on which an answer did not come in time is not used again; an answer
-that has begun in time may go on for as long as bytes come.
+Every call ends with a response or with the reason why there is none. A
+connection on which a response timed out is not used again. A response that has
+begun in time may continue while bytes keep arriving, up to a limit.
 """
 
 from __future__ import annotations
@@ -19,27 +19,27 @@
 
 RECEIVE_BYTES = 65_536
 
-# A list of the largest objects that the store keeps, several pages over.
+# Several times a page of the largest objects that the store keeps.
 MAX_BODY_BYTES = 16 * 1024 * 1024
 
-# An answer that has begun and brings nothing for this long has gone silent: a
-# sender's second retransmission comes 0.6 s after the first packet.
-STALL_S = 0.8
+# A response that pauses for longer has stalled: the second retransmission of a
+# TCP sender comes 0.6 s after the first packet.
+STALL_TIMEOUT_S = 0.8
 
-# The largest answer over the slowest link, 1 MB at 5 Mbit/s, with two others
-# beside it.
-LONGEST_ANSWER_S = 5.0
+# The largest response, 1 MB, over the slowest link, 5 Mbit/s, while two others
+# share the link.
+MAX_RESPONSE_S = 5.0
 
 
 class Response(NamedTuple):
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     body: bytes
 
 
 class CallFailure(NamedTuple):
-    """Why there is no answer; the call may have been carried out all the same."""
+    """Why there is no response; the server may have executed the call anyway."""
 
     failure: str
     detail: str
@@ -54,12 +54,12 @@
         self._sock: socket.socket | None = None
         self._fd = -1
         self._parser = None
-        self._outgoing = b""
+        self._send_buffer = b""
         self._body = bytearray()
         self._on_done: Callable[[Response | CallFailure], None] | None = None
         self._timeout = None
-        self._heard_at: float | None = None
-        self._latest_end = 0.0
+        self._last_received_at: float | None = None
+        self._deadline = 0.0
 
     def call(
         self,
@@ -72,14 +72,14 @@
         """Make a call; ``on_done`` gets a `Response` or a `CallFailure`."""
         self._on_done = on_done
         self._timeout = self._reactor.callLater(timeout_s, self._time_out)
-        self._heard_at = None
-        self._latest_end = self._reactor.seconds() + timeout_s + LONGEST_ANSWER_S
+        self._last_received_at = None
+        self._deadline = self._reactor.seconds() + timeout_s + MAX_RESPONSE_S
         host, port = self.address
         head = f"{method} {path} HTTP/1.1\r\nHost: {host}:{port}\r\n"
         if body:
             head += "Content-Type: application/json\r\n"
             head += f"Content-Length: {len(body)}\r\n"
-        self._outgoing = head.encode() + b"\r\n" + body
+        self._send_buffer = head.encode() + b"\r\n" + body
         self._parser = HttpResponseParser(self)
         self._body.clear()
         if self._sock is None:
@@ -90,10 +90,10 @@
         self._reactor.addWriter(self)
 
     def close(self) -> None:
-        """Close the connection; a call that is under way is not told of."""
+        """Close the connection; ``on_done`` of a pending call is not called."""
         self._on_done = None
         self._finish()
-        self._drop()
+        self._disconnect()
 
     # The reactor's interface
 
@@ -102,60 +102,60 @@
         return self._fd
 
     def doWrite(self) -> None:  # noqa: N802
-        """Send what is left of the request."""
+        """Send the rest of the request."""
         try:
-            sent = self._sock.send(self._outgoing)
+            sent = self._sock.send(self._send_buffer)
         except BlockingIOError:
             return
         except OSError as exc:
-            self._fail(Failure.BROKEN, _name(exc))
+            self._fail(Failure.BROKEN, _error_name(exc))
             return
-        self._outgoing = self._outgoing[sent:]
-        if not self._outgoing:
+        self._send_buffer = self._send_buffer[sent:]
+        if not self._send_buffer:
             self._reactor.removeWriter(self)
 
     def doRead(self) -> None:  # noqa: N802
-        """Take in a part of the answer."""
+        """Receive a part of the response."""
         try:
             data = self._sock.recv(RECEIVE_BYTES)
         except BlockingIOError:
             return
         except OSError as exc:
-            self._fail(Failure.BROKEN, _name(exc))
+            self._fail(Failure.BROKEN, _error_name(exc))
             return
         if not data:
-            self._fail(Failure.BROKEN, "closed by the server")
+            self._fail(Failure.BROKEN, "connection closed by the server")
             return
         if self._on_done is None:
-            self._drop()  # Bytes that nobody asked for.
+            self._disconnect()  # Data without a pending call.
             return
-        self._heard_at = self._reactor.seconds()
+        self._last_received_at = self._reactor.seconds()
         try:
             self._parser.feed_data(data)
-        except Exception as exc:  # The parser's errors have no base of their own.
+        except Exception as exc:  # The parser's errors have no common base class.
             self._fail(Failure.UNREADABLE, str(exc))
 
     # The parser's interface
 
     def on_body(self, data: bytes) -> None:
-        """Take in a part of the body."""
+        """Receive a part of the body."""
         self._body += data
         if len(self._body) > MAX_BODY_BYTES:
-            raise ValueError("the answer is too long")
+            raise ValueError(f"response body exceeds {MAX_BODY_BYTES} bytes")
 
     def on_message_complete(self) -> None:
-        """Hand the answer over."""
+        """Pass the response to ``on_done``."""
         response = Response(self._parser.get_status_code(), bytes(self._body))
-        keeps = self._parser.should_keep_alive()
+        keep_alive = self._parser.should_keep_alive()
         on_done = self._on_done
         self._finish()
-        if not keeps:
-            self._drop()
+        if not keep_alive:
+            self._disconnect()
         if on_done is not None:
             on_done(response)
 
     def _connect(self) -> str:
-        """Begin to connect; return what went wrong, or nothing."""
+        """Begin to connect; return the name of an error, or an empty text."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -170,17 +170,17 @@
 
     def _time_out(self) -> None:
         now = self._reactor.seconds()
-        if self._heard_at is not None:
-            due = min(self._heard_at + STALL_S, self._latest_end)
+        if self._last_received_at is not None:
+            due = min(self._last_received_at + STALL_TIMEOUT_S, self._deadline)
             if due > now:
                 self._timeout = self._reactor.callLater(due - now, self._time_out)
                 return
-        self._fail(Failure.TIMEOUT, "no answer in time")
+        self._fail(Failure.TIMEOUT, "no response in time")
 
     def _fail(self, failure: str, detail: str) -> None:
         on_done = self._on_done
         self._finish()
-        self._drop()
+        self._disconnect()
         if on_done is not None:
             on_done(CallFailure(failure, detail))
 
@@ -190,7 +190,7 @@
             self._timeout.cancel()
         self._timeout = None
 
-    def _drop(self) -> None:
+    def _disconnect(self) -> None:
         if self._sock is None:
             return
         self._reactor.removeReader(self)
@@ -200,5 +200,5 @@
         self._fd = -1
 
 
-def _name(exc: OSError) -> str:
+def _error_name(exc: OSError) -> str:
     return errno.errorcode.get(exc.errno, str(exc))
--- a/kumquatshift/adapters/http_pages.py
+++ b/kumquatshift/adapters/http_pages.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server for pages that the process shows of itself."""
+"""A small HTTP/1.1 server for status and other pages of an entry."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 RECEIVE_BYTES = 4096
 BACKLOG = 64
 
-# Checks come from a few probers; more than this is someone else.
+# Far more than the few probers and other entries that call an entry.
 MAX_CONNECTIONS = 100
 
-# A prober calls twice a second; a connection that says nothing for this long
-# has been forgotten by its other end.
-IDLE_S = 30.0
+# A prober calls twice a second; a connection that is idle for this long has been
+# abandoned by the client.
+IDLE_TIMEOUT_S = 30.0
 
-# Too Many Requests (RFC 6585): the same may be asked again soon.
+# Too Many Requests (RFC 6585): the client may soon repeat the request.
 BUSY_STATUS = 429
 
-STATUS_TEXTS = {
+REASON_PHRASES = {
     200: "OK",
     404: "Not Found",
     BUSY_STATUS: "Too Many Requests",
@@ -32,7 +32,7 @@
 
 
 class PageAnswer(NamedTuple):
-    """What one page says."""
+    """The response of one page."""
 
     status: int
     body: bytes = b""
@@ -42,7 +42,7 @@
 
 
 class PageServer(Descriptor):
-    """Serves ``pages`` by path at one address."""
+    """Serves ``pages``, a function for each path, at one address."""
 
     def __init__(self, reactor, address: tuple[str, int], pages: Pages):
         self._reactor = reactor
@@ -64,7 +64,7 @@
         try:
             sock, _ = self._sock.accept()
         except OSError:
-            return  # It was given up before it was accepted.
+            return  # The client closed the connection before it was accepted.
         if len(self._connections) >= MAX_CONNECTIONS:
             sock.close()
             return
@@ -72,18 +72,18 @@
         self._connections.add(_Connection(self._reactor, sock, self))
 
     def answer(self, path: bytes) -> PageAnswer:
-        """Return what a page says; it gets the query."""
+        """Return the response of the page at ``path``; the page gets the query."""
         path, _, query = path.partition(b"?")
         page = self._pages.get(path)
         return page(query) if page is not None else PageAnswer(404)
 
-    def forget(self, conn: _Connection) -> None:
-        """Note that a connection is closed."""
+    def remove_connection(self, conn: _Connection) -> None:
+        """Remove a connection that was closed."""
         self._connections.discard(conn)
 
 
 class _Connection(Descriptor):
-    """One connection of a prober."""
+    """One connection of a client."""
 
     def __init__(self, reactor, sock: socket.socket, server: PageServer):
         self._reactor = reactor
@@ -91,8 +91,8 @@
         self._server = server
         self._parser = HttpRequestParser(self)
         self._path = b""
-        self._outgoing = b""
-        self._idle = reactor.callLater(IDLE_S, self._close)
+        self._send_buffer = b""
+        self._idle_timer = reactor.callLater(IDLE_TIMEOUT_S, self._close)
         reactor.addReader(self)
 
     def fileno(self) -> int:
@@ -107,19 +107,19 @@
             self._parser.feed_data(data)
         except BlockingIOError:
             return
-        except Exception:  # A broken connection, or no HTTP: either way it ends.
+        except Exception:  # A broken connection or invalid HTTP: close it.
             self._close()
 
     def doWrite(self) -> None:  # noqa: N802
         try:
-            sent = self._sock.send(self._outgoing)
+            sent = self._sock.send(self._send_buffer)
         except BlockingIOError:
             return
         except OSError:
             self._close()
             return
-        self._outgoing = self._outgoing[sent:]
-        if not self._outgoing:
+        self._send_buffer = self._send_buffer[sent:]
+        if not self._send_buffer:
             self._reactor.removeWriter(self)
 
     def on_url(self, url: bytes) -> None:
@@ -127,20 +127,20 @@
 
     def on_message_complete(self) -> None:
         answer = self._server.answer(self._path)
-        text = STATUS_TEXTS.get(answer.status, "Unknown")
+        text = REASON_PHRASES.get(answer.status, "Unknown")
         head = f"HTTP/1.1 {answer.status} {text}\r\n"
         head += f"Content-Length: {len(answer.body)}\r\n\r\n"
-        self._outgoing += head.encode() + answer.body
-        self._idle.cancel()
-        self._idle = self._reactor.callLater(IDLE_S, self._close)
+        self._send_buffer += head.encode() + answer.body
+        self._idle_timer.cancel()
+        self._idle_timer = self._reactor.callLater(IDLE_TIMEOUT_S, self._close)
         self._reactor.addWriter(self)
 
     def _close(self) -> None:
-        if self._idle.active():
-            self._idle.cancel()
+        if self._idle_timer.active():
+            self._idle_timer.cancel()
         if self._sock.fileno() < 0:
             return
         self._reactor.removeReader(self)
         self._reactor.removeWriter(self)
         self._sock.close()
-        self._server.forget(self)
+        self._server.remove_connection(self)
--- a/kumquatshift/adapters/neighbours.py
+++ b/kumquatshift/adapters/neighbours.py
@@ -1,4 +1,4 @@
-"""The other entries: heartbeats on time, and answers to what they ask."""
+"""Communication with the other entries: heartbeats, member queries and news."""
 
 from __future__ import annotations
 
@@ -20,30 +20,34 @@
 from ..direct.suspicion import Suspicion
 from ..direct.warmup import UNSETTLED_ENTRIES, Warmup
 from .http_pages import BUSY_STATUS, PageAnswer, PageServer
-from .peers import NEWS_PATH, NewsCodec, PeerPort
+from .peers import NEWS_PATH, HeartbeatPort, NewsCodec
 
-# All entries that start together have heard each other after this time.
-SETTLED_S = 2.0
+# Entries that start at the same time have heard each other after this time.
+DISCOVERY_S = 2.0
 
-# News that came and suspicions that arose meanwhile go out together.
-PROMPT_S = 0.01
+# Changes that occur within this time are announced in one heartbeat.
+COALESCE_S = 0.01
 
 
 if TYPE_CHECKING:
     from typing import Protocol
 
     class NewsReader(Protocol):
-        """Makes a feed's calls, to other entries too."""
+        """Makes the calls of one feed, to the store or to other entries."""
 
         codec: NewsCodec | None
 
         def wake(self) -> None:
-            """Ask the feed for its next call at once, if it only follows."""
+            """Make the next call at once, unless the feed reads the store itself."""
             ...
 
 
 class Neighbours:
-    """Speaks with the other entries for one entry."""
+    """Exchanges heartbeats, members and news with the other entries.
+
+    Heartbeats and member queries go over UDP; a page on the same address
+    serves news, the changes of a feed, over HTTP.
+    """
 
     def __init__(
         self,
@@ -66,26 +70,33 @@
         self._lifecycle = lifecycle
         self._handout = handout
         self._incarnation = time.time_ns()
-        self._told: tuple = ()
-        self._beat = None
+        self._announced_state: tuple = ()
+        self._heartbeat_timer = None
         self._port = None
 
     def start(self) -> None:
-        """Open the port, and begin to speak."""
+        """Open the ports, and begin to send heartbeats and member queries."""
         address = self._members.me.address
-        self._port = PeerPort(
-            self._reactor, address, self._hear, self._name, self._members.hear_of
+        self._port = HeartbeatPort(
+            self._reactor,
+            address,
+            self._on_heartbeat,
+            self._answer_member_query,
+            self._members.hear_of,
         )
         PageServer(self._reactor, address, {NEWS_PATH: self._news_page})
         for after_s in ASK_AT_S:
-            self._reactor.callLater(after_s, self._ask)
-        self._reactor.callLater(ASK_ALONE_EVERY_S, self._ask_alone)
-        self._send_beat()
+            self._reactor.callLater(after_s, self._query_seeds)
+        self._reactor.callLater(ASK_ALONE_EVERY_S, self._query_seeds_while_alone)
+        self._send_heartbeat()
 
     def follow(
         self, feeds: dict[str, Feed], readers: dict[str, NewsReader], pace: Pace
     ) -> None:
-        """Let feeds, and those who make their calls, learn from the others."""
+        """Let feeds fetch news from other entries.
+
+        ``readers`` make the calls of the feed of the same kind.
+        """
         self._feeds = feeds
         self._codec = NewsCodec()
         for kind, feed in feeds.items():
@@ -95,34 +106,38 @@
         self._readers = readers
 
     def names(self) -> list[str]:
-        """Return the names of the domain's entries that are heard."""
+        """Return the names of the live entries of the domain, this one included."""
         return self._members.names()
 
     def beat_now(self) -> None:
-        """Send the next heartbeat at once, since something has changed."""
-        if self._beat is not None and self._beat.active():
-            self._beat.cancel()
-        self._beat = self._reactor.callLater(PROMPT_S, self._send_beat)
+        """Send the next heartbeat without waiting for its interval."""
+        if self._heartbeat_timer is not None and self._heartbeat_timer.active():
+            self._heartbeat_timer.cancel()
+        self._heartbeat_timer = self._reactor.callLater(
+            COALESCE_S, self._send_heartbeat
+        )
 
     def check(self) -> None:
-        """Send a heartbeat if what it tells has changed."""
-        if self._state() != self._told:
+        """Send a heartbeat if its urgent part has changed since the last one."""
+        if self._urgent_state() != self._announced_state:
             self.beat_now()
 
-    def _send_beat(self) -> None:
+    def _send_heartbeat(self) -> None:
         now = self._reactor.seconds()
         self._members.expire(now)
         names = self._members.names()
-        is_settled = now - self._started_at > SETTLED_S
-        self._warmup.entries = max(len(names), 1 if is_settled else UNSETTLED_ENTRIES)
+        is_discovery_over = now - self._started_at > DISCOVERY_S
+        self._warmup.entries = max(
+            len(names), 1 if is_discovery_over else UNSETTLED_ENTRIES
+        )
         self._warmup.rank = names.index(self._members.me.name)
-        self._told = self._state()
-        self._port.send_beat(self._make_beat(now), self._members.addresses())
-        reads = any(feed.is_reader for feed in self._feeds.values())
-        wait_s = READER_BEAT_S if reads else BEAT_S
-        self._beat = self._reactor.callLater(wait_s, self._send_beat)
+        self._announced_state = self._urgent_state()
+        self._port.send_heartbeat(self._build_heartbeat(now), self._members.addresses())
+        is_reader_here = any(feed.is_reader for feed in self._feeds.values())
+        wait_s = READER_BEAT_S if is_reader_here else BEAT_S
+        self._heartbeat_timer = self._reactor.callLater(wait_s, self._send_heartbeat)
 
-    def _make_beat(self, now: float) -> Beat:
+    def _build_heartbeat(self, now: float) -> Beat:
         ticks = [feed.tick(now) for feed in self._feeds.values()]
         me = self._members.me
         return Beat(
@@ -137,8 +152,8 @@
             self._suspicion.objections(now),
         )
 
-    def _state(self) -> tuple:
-        """Return what other entries should hear of without delay."""
+    def _urgent_state(self) -> tuple:
+        """Return the part of the state that is announced without delay."""
         now = self._reactor.seconds()
         return (
             tuple(feed.changed for feed in self._feeds.values()),
@@ -146,7 +161,7 @@
             {objection.name for objection in self._suspicion.objections(now)},
         )
 
-    def _hear(self, beat: Beat) -> None:
+    def _on_heartbeat(self, beat: Beat) -> None:
         now = self._reactor.seconds()
         self._members.hear(beat, now)
         if beat.domain != self._members.me.domain:
@@ -161,24 +176,24 @@
             if reader is not None and self._feeds[tick.kind].lacks(tick):
                 reader.wake()
 
-    def _name(self, asking: Member) -> tuple[Member, ...]:
-        """Answer which entries of the asking one's domain are heard."""
-        known = (*self._members.domain_members(asking.domain), self._members.me)
-        self._members.note_asking(asking, self._reactor.seconds())
-        return tuple(m for m in known if m.domain == asking.domain)
+    def _answer_member_query(self, sender: Member) -> tuple[Member, ...]:
+        """Return the live entries of the domain of the entry that queries."""
+        known = (*self._members.domain_members(sender.domain), self._members.me)
+        self._members.note_asking(sender, self._reactor.seconds())
+        return tuple(m for m in known if m.domain == sender.domain)
 
-    def _ask(self) -> None:
-        self._port.ask(self._members.me, self._members.seeds())
+    def _query_seeds(self) -> None:
+        self._port.send_member_query(self._members.me, self._members.seeds())
 
-    def _ask_alone(self) -> None:
+    def _query_seeds_while_alone(self) -> None:
         self._members.forget_named()
         if not self._members.peers():
-            self._ask()
-        self._reactor.callLater(ASK_ALONE_EVERY_S, self._ask_alone)
+            self._query_seeds()
+        self._reactor.callLater(ASK_ALONE_EVERY_S, self._query_seeds_while_alone)
 
     def _news_page(self, query: bytes) -> PageAnswer:
         try:
-            kind, since = self._codec.asked_for(query)
+            kind, since = self._codec.parse_query(query)
         except ValueError:
             return PageAnswer(404)
         now = self._reactor.seconds()
--- a/kumquatshift/adapters/peers.py
+++ b/kumquatshift/adapters/peers.py
@@ -1,4 +1,7 @@
-"""Heartbeats between entries over UDP, and their news over HTTP."""
+"""Wire formats between entries: heartbeats over UDP, news over HTTP.
+
+News are the changes of a feed that one entry passes on to another.
+"""
 
 from __future__ import annotations
 
@@ -14,34 +17,34 @@
 
 NEWS_PATH = b"/news"
 RECEIVE_BYTES = 65_536
-BATCH_DATAGRAMS = 64
+MAX_DATAGRAMS_PER_READ = 64
 
-# Answers kept for the next follower: one or two for each kind.
-KEPT_ANSWERS = 6
+# Encoded answers that are cached: one or two for each kind of feed.
+MAX_CACHED_ANSWERS = 6
 
-# All targets and the largest configuration that the store keeps.
+# Holds all targets and the largest configuration that the store keeps.
 MAX_NEWS_BYTES = 16 * 1024 * 1024
 
 
 class UnreadableNewsError(ValueError):
-    """Another entry sent what can not be read."""
+    """The news from another entry could not be decoded."""
 
 
-class PeerPort(Descriptor):
-    """Sends and takes heartbeats, questions for members and their answers."""
+class HeartbeatPort(Descriptor):
+    """Sends and receives heartbeats, member queries and the answers to them."""
 
     def __init__(
         self,
         reactor,
         address: tuple[str, int],
-        on_beat: Callable[[Beat], None],
-        on_question: Callable[[Member], tuple[Member, ...]],
+        on_heartbeat: Callable[[Beat], None],
+        on_member_query: Callable[[Member], tuple[Member, ...]],
         on_members: Callable[[tuple[Member, ...]], None],
     ):
         self.malformed = 0
         self.lost = 0
-        self._on_beat = on_beat
-        self._on_question = on_question
+        self._on_heartbeat = on_heartbeat
+        self._on_member_query = on_member_query
         self._on_members = on_members
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.setblocking(False)
@@ -52,41 +55,43 @@
         """Return the descriptor of the socket."""
         return self._sock.fileno()
 
-    def send_beat(self, beat: Beat, addresses: list[tuple[str, int]]) -> None:
-        """Send a heartbeat to other entries."""
+    def send_heartbeat(self, beat: Beat, addresses: list[tuple[str, int]]) -> None:
+        """Send a heartbeat to each address."""
         data = json.dumps({"beat": beat}).encode()
         for address in addresses:
             self._send(data, address)
 
-    def ask(self, me: Member, addresses: tuple[tuple[str, int], ...]) -> None:
-        """Ask entries which others of the own domain they hear."""
+    def send_member_query(
+        self, me: Member, addresses: tuple[tuple[str, int], ...]
+    ) -> None:
+        """Ask entries which other entries of the domain of ``me`` they know."""
         data = json.dumps({"question": me}).encode()
         for address in addresses:
             self._send(data, address)
 
     def doRead(self) -> None:  # noqa: N802
-        """Take the datagrams that wait."""
-        for _ in range(BATCH_DATAGRAMS):
+        """Receive the pending datagrams."""
+        for _ in range(MAX_DATAGRAMS_PER_READ):
             try:
                 data, sender = self._sock.recvfrom(RECEIVE_BYTES)
             except BlockingIOError:
                 return
             except OSError:
-                self.lost += 1  # A peer's port was closed; it says so itself.
+                self.lost += 1  # ICMP: the port of a peer is closed.
                 return
             try:
-                self._take(json.loads(data), sender)
+                self._dispatch(json.loads(data), sender)
             except (ValueError, TypeError, KeyError, IndexError):
                 self.malformed += 1
 
-    def _take(self, message: dict, sender: tuple[str, int]) -> None:
+    def _dispatch(self, message: dict, sender: tuple[str, int]) -> None:
         if "beat" in message:
-            self._on_beat(_beat(message["beat"]))
+            self._on_heartbeat(_parse_heartbeat(message["beat"]))
         elif "question" in message:
-            members = self._on_question(_member(message["question"]))
+            members = self._on_member_query(_parse_member(message["question"]))
             self._send(json.dumps({"members": members}).encode(), sender)
         elif "members" in message:
-            self._on_members(tuple(_member(each) for each in message["members"]))
+            self._on_members(tuple(_parse_member(each) for each in message["members"]))
         else:
             self.malformed += 1
 
@@ -94,77 +99,77 @@
         try:
             self._sock.sendto(data, address)
         except OSError:
-            self.lost += 1  # As good as lost on the way; the next one follows.
+            self.lost += 1  # Treated as lost in transit; heartbeats repeat.
 
 
 class NewsCodec:
-    """Questions for news and their answers, as entries write them.
+    """Encodes and decodes requests for news and the answers to them.
 
-    An answer is its tick as a line of JSON, and the rest deflated. All followers
-    of a reader ask for the same at once; it is written and deflated for the
-    first of them, since a big configuration would fill the link of a small
-    machine for seconds otherwise.
+    An answer is its tick as one line of JSON, followed by the rest as
+    zlib-compressed JSON: uncompressed, a large configuration would fill the
+    link of a small machine for seconds. All followers of a reader ask for the
+    same at once, so an encoded answer is cached.
     """
 
     def __init__(self):
-        self._written: dict[tuple, bytes] = {}
+        self._encoded: dict[tuple, bytes] = {}
 
     def path(self, kind: str, since: int) -> str:
-        """Return the path on which an entry is asked for its news."""
+        """Return the path of the news of a kind of feed after ``since``."""
         return f"{NEWS_PATH.decode()}?{kind}&{since}"
 
-    def asked_for(self, query: bytes) -> tuple[str, int]:
-        """Return what a query asks for; raises `ValueError`."""
+    def parse_query(self, query: bytes) -> tuple[str, int]:
+        """Return the kind and ``since`` of a query; raises `ValueError`."""
         kind, _, since = query.decode().partition("&")
         return kind, int(since)
 
     def encode(self, news: NewsAnswer, since: int) -> bytes:
-        """Encode an answer to who knows what there was up to ``since``."""
+        """Encode an answer for a follower that knows all changes up to ``since``."""
         tick = news.tick
         key = tick.kind, news.is_whole, since, tick.since, tick.changed
-        body = self._written.get(key)
+        body = self._encoded.get(key)
         if body is None:
             text = json.dumps(news[:3]).encode()
             body = zlib.compress(text, level=zlib.Z_BEST_SPEED)
-            if len(self._written) >= KEPT_ANSWERS:
-                del self._written[next(iter(self._written))]
-            self._written[key] = body
+            if len(self._encoded) >= MAX_CACHED_ANSWERS:
+                del self._encoded[next(iter(self._encoded))]
+            self._encoded[key] = body
         return json.dumps(tick).encode() + b"\n" + body
 
     def decode(self, body: bytes) -> NewsAnswer:
         """Decode an answer; raises `UnreadableNewsError`."""
         try:
             tick, _, rest = body.partition(b"\n")
-            is_whole, items, changes = json.loads(_inflated(rest))
+            is_whole, items, changes = json.loads(_inflate(rest))
             return NewsAnswer(
                 bool(is_whole),
-                tuple(_item(each) for each in items),
-                tuple(Change(_item(item), bool(gone)) for item, gone in changes),
-                _tick(json.loads(tick)),
+                tuple(_parse_item(each) for each in items),
+                tuple(Change(_parse_item(item), bool(gone)) for item, gone in changes),
+                _parse_tick(json.loads(tick)),
             )
         except (ValueError, TypeError, IndexError, zlib.error) as exc:
-            raise UnreadableNewsError(f"news: {exc!r}") from exc
+            raise UnreadableNewsError(f"cannot decode news: {exc!r}") from exc
 
 
-def _inflated(data: bytes) -> bytes:
+def _inflate(data: bytes) -> bytes:
     stream = zlib.decompressobj()
     text = stream.decompress(data, MAX_NEWS_BYTES)
     if not stream.eof:
-        raise ValueError("cut off, or too long")
+        raise ValueError(f"truncated, or longer than {MAX_NEWS_BYTES} bytes")
     return text
 
 
-def _beat(wire: list) -> Beat:
+def _parse_heartbeat(wire: list) -> Beat:
     name, domain, address, incarnation, leaving, reaches, *lists = wire
     ticks, suspects, objections = lists
     return Beat(
         str(name),
         str(domain),
-        _address(address),
+        _parse_address(address),
         int(incarnation),
         bool(leaving),
         bool(reaches),
-        tuple(_tick(each) for each in ticks),
+        tuple(_parse_tick(each) for each in ticks),
         tuple(
             Suspect(str(name), int(start), int(complaints), float(silent_s))
             for name, start, complaints, silent_s in suspects
@@ -176,23 +181,23 @@
     )
 
 
-def _member(wire: list) -> Member:
+def _parse_member(wire: list) -> Member:
     name, domain, address = wire
-    return Member(str(name), str(domain), _address(address))
+    return Member(str(name), str(domain), _parse_address(address))
 
 
-def _address(wire: list) -> tuple[str, int]:
+def _parse_address(wire: list) -> tuple[str, int]:
     host, port = wire
     socket.inet_aton(host)
     return str(host), int(port)
 
 
-def _tick(wire: list) -> Tick:
+def _parse_tick(wire: list) -> Tick:
     kind, is_reader, *revisions, age_s = wire
     since, changed, revision = (int(each) for each in revisions)
     return Tick(str(kind), bool(is_reader), since, changed, revision, float(age_s))
 
 
-def _item(wire: list) -> Item:
+def _parse_item(wire: list) -> Item:
     name, revision, value = wire
     return Item(str(name), int(revision), value)
--- a/kumquatshift/adapters/platform.py
+++ b/kumquatshift/adapters/platform.py
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class PlatformConfig:
-    """Where the platform is; ``ca`` is a PEM file that signs its certificate."""
+    """URL of the platform, and the PEM file of the CA of its certificate."""
 
     url: str = DEFAULT_URL
     ca: str = ""
@@ -57,37 +57,37 @@
 
 
 class PlatformClient:
-    """The port `kumquatshift.platform_port.Platform` over HTTP.
+    """Implements `kumquatshift.platform_port.Platform` over HTTP.
 
-    No call is tried again by itself: a write whose answer is lost ends in
-    OUTCOME_UNKNOWN, and the caller finds out with `read_object`.
+    Calls are not retried: a write whose answer is lost results in
+    OUTCOME_UNKNOWN, and the caller checks the outcome with `read_object`.
     """
 
     def __init__(self, cfg: PlatformConfig, reactor):
         self._cfg = cfg
         self._reactor = reactor
-        # This agent keeps no connections. On kept ones Twisted sends a request
-        # again by itself, even a write, if the first turns out to be closed.
+        # This agent has no connection pool. With one, Twisted resends a request,
+        # even a write, if the pooled connection turns out to be closed.
         self._http = HTTPClient(platform_agent(reactor, cfg.ca))
 
     @classmethod
     def from_config(cls, cfg: Mapping[str, str], reactor) -> "PlatformClient":
-        """Return a client for an INI section."""
+        """Return a client for the keys of an INI section."""
         return cls(PlatformConfig.from_config(cfg), reactor)
 
     def list_objects(self, kind: Kind | None = None) -> Deferred:
-        """Give all objects, or those of one kind."""
+        """List all objects, or those of one kind."""
         query = f"?kind={kind}" if kind else ""
         fut = self._call("GET", "/v1/objects" + query)
-        return self._read(fut, read_listing)
+        return self._read_result(fut, read_listing)
 
     def read_object(self, kind: Kind, name: str) -> Deferred:
-        """Give one object, its tombstone, or NOT_FOUND."""
+        """Read one object: result is the object, its tombstone or NOT_FOUND."""
         fut = self._call("GET", _path(kind, name))
-        return self._read(fut, read_object, kind, name)
+        return self._read_result(fut, read_object, kind, name)
 
     def write_object(self, body: Body, version: int, operation: str) -> Deferred:
-        """Write one object if the version still stands."""
+        """Write one object if ``version`` is still its current version."""
         kind = kind_of(body)
         value = {
             "kind": kind.value,
@@ -96,25 +96,25 @@
             "body": body_to_json(body),
         }
         fut = self._call("PUT", _path(kind, body.name), version, json=value)
-        return self._wrote(fut, kind, body.name, version)
+        return self._write_result(fut, kind, body.name, version)
 
     def delete_object(
         self, kind: Kind, name: str, version: int, operation: str
     ) -> Deferred:
-        """Delete one object if the version still stands."""
+        """Delete one object if ``version`` is still its current version."""
         fut = self._call("DELETE", _path(kind, name), version, operation=operation)
-        return self._wrote(fut, kind, name, version)
+        return self._write_result(fut, kind, name, version)
 
     def watch_objects(self, since: int, on_event, on_end) -> "HttpWatch":
-        """Open a watch; `watcher.PlatformWatch` keeps one open for good."""
+        """Open a watch; `watcher.PlatformWatch` reopens it when it ends."""
         url = f"{self._cfg.url}/v1/watch?since={since}"
         fut = self._http.get(url, unbuffered=True, reactor=self._reactor)
         return HttpWatch(fut, on_event, on_end)
 
     def list_vms(self) -> Deferred:
-        """Give the platform's list of VMs."""
+        """List the VMs of the platform."""
         fut = self._call("GET", "/v1/vms")
-        return self._read(fut, read_vms)
+        return self._read_result(fut, read_vms)
 
     def _call(self, method, path, version=None, operation=None, json=None):
         headers = {}
@@ -130,45 +130,45 @@
             reactor=self._reactor,
             **body,
         )
-        fut.addCallback(_collect)
+        fut.addCallback(_read_reply)
         return limit(fut, self._cfg.timeout_s, self._reactor)
 
-    def _read(self, fut, read, *args):
-        """Turn an answer or its absence into a result; it never fails otherwise."""
+    def _read_result(self, fut, read, *args):
+        """Convert the reply, or its absence, to a result; never fires an errback."""
         fut.addCallbacks(read, self._read_failed, args)
-        return fut.addErrback(_unread, ErrorKind.UNAVAILABLE)
+        return fut.addErrback(_unreadable_reply, ErrorKind.UNAVAILABLE)
 
-    def _wrote(self, fut, kind, name, version):
-        """As `_read`, but what cannot be read may have taken effect."""
+    def _write_result(self, fut, kind, name, version):
+        """As `_read_result`, but after an unreadable reply the outcome is unknown."""
         fut.addCallbacks(read_written, self._write_failed, (kind, name, version))
-        return fut.addErrback(_unread, ErrorKind.OUTCOME_UNKNOWN)
+        return fut.addErrback(_unreadable_reply, ErrorKind.OUTCOME_UNKNOWN)
 
     def _read_failed(self, reason):
         if reason.check(defer.TimeoutError):
-            text = f"the platform gave no answer in {self._cfg.timeout_s:g} s"
+            text = f"the platform did not answer within {self._cfg.timeout_s:g} s"
             return result.Failure(Failure(ErrorKind.TIMEOUT, text, self._remedy()))
-        text = f"the platform is out of reach: {told(reason)}"
+        text = f"the platform is unreachable: {told(reason)}"
         return result.Failure(Failure(ErrorKind.UNAVAILABLE, text, self._remedy()))
 
     def _write_failed(self, reason):
         if reason.check(ConnectError):
             return self._read_failed(reason)
         text = f"the answer to the write was lost: {told(reason)}"
-        remedy = "read the object back; its operation id tells"
+        remedy = "read the object back and compare its operation id"
         return result.Failure(Failure(ErrorKind.OUTCOME_UNKNOWN, text, remedy))
 
     def _remedy(self):
         return f"check that {self._cfg.url} is the platform, and try again later"
 
 
-def _collect(response):
+def _read_reply(response):
     fut = response.content()
     return fut.addCallback(lambda data: Reply(response.code, parse(data)))
 
 
-def _unread(reason, kind):
-    log.warning("An answer cannot be read: {!r}.", reason.value)
-    text = f"the platform's answer cannot be read: {reason.value!r}"
+def _unreadable_reply(reason, kind):
+    log.warning("Cannot read an answer of the platform: {!r}.", reason.value)
+    text = f"cannot read the platform's answer: {reason.value!r}"
     return result.Failure(Failure(kind, text, "try again later"))
 
 
--- a/kumquatshift/adapters/platform_answers.py
+++ b/kumquatshift/adapters/platform_answers.py
@@ -1,4 +1,4 @@
-"""What the platform's answers mean."""
+"""Reads the replies of the platform's object API."""
 
 import json
 from dataclasses import dataclass
@@ -18,21 +18,21 @@
 
 @dataclass(frozen=True)
 class Reply:
-    """The code and the JSON value of one answer."""
+    """The status code and the JSON value of one reply."""
 
     code: int
     value: object
 
 
 def parse(data: bytes) -> object:
-    """Return the JSON value of an answer, None if it is no JSON."""
+    """Return the JSON value of a reply, None if it is not JSON."""
     try:
         return json.loads(data)
     except ValueError:
         return None
 
 
-def _unexpected(reply):
+def _unexpected_reply(reply):
     why = reply.value.get("error", "") if isinstance(reply.value, dict) else ""
     kind = ErrorKind.BAD_INPUT if reply.code == 400 else ErrorKind.UNAVAILABLE
     return Failure(
@@ -40,23 +40,23 @@
     )
 
 
-def decoded(value: object) -> Versioned | None:
-    """Return an object, None after a warning if it cannot be read."""
+def decode_or_skip(value: object) -> Versioned | None:
+    """Return an object; log a warning and return None if it is invalid."""
     obj = object_from_json(value)
     if is_successful(obj):
         return obj.unwrap()
-    log.warning("An object is skipped: {}.", obj.failure().message)
+    log.warning("Skipped an invalid object: {}.", obj.failure().message)
     return None
 
 
 def read_listing(reply: Reply) -> Result[Listing, Failure]:
-    """Return the objects that stand."""
+    """Return the listed objects; invalid ones are skipped."""
     value = reply.value
     if reply.code != 200 or not isinstance(value, dict):
-        return result.Failure(_unexpected(reply))
+        return result.Failure(_unexpected_reply(reply))
     items, skipped = [], []
     for item in value.get("items", []):
-        obj = decoded(item)
+        obj = decode_or_skip(item)
         if obj is None:
             skipped.append((item.get("kind"), item.get("name")))
         else:
@@ -65,15 +65,15 @@
 
 
 def read_object(reply: Reply, kind: Kind, name: str) -> Result[Versioned, Failure]:
-    """Return one object or its tombstone."""
+    """Return one object, or its tombstone from a 404 reply."""
     if reply.code == 200:
         return object_from_json(reply.value).alt(_unreadable)
     if reply.code == 404:
-        return _standing_after_404(reply, kind, name)
-    return result.Failure(_unexpected(reply))
+        return _tombstone_or_not_found(reply, kind, name)
+    return result.Failure(_unexpected_reply(reply))
 
 
-def _standing_after_404(reply, kind, name):
+def _tombstone_or_not_found(reply, kind, name):
     obj = object_from_json(reply.value)
     if is_successful(obj):
         return obj
@@ -86,18 +86,18 @@
 def read_written(
     reply: Reply, kind: Kind, name: str, version: int
 ) -> Result[Versioned, Failure]:
-    """Return what a write left, a `Conflict`, or OUTCOME_UNKNOWN.
+    """Return the written object, a `Conflict`, or OUTCOME_UNKNOWN.
 
-    Only an answer from 400 to 499 says that nothing was written.
+    Only a status from 400 to 499 proves that nothing was written.
     """
     if reply.code in (404, 409):
         return result.Failure(_conflict(reply, kind, name, version))
     if 400 <= reply.code < 500:
-        return result.Failure(_unexpected(reply))
+        return result.Failure(_unexpected_reply(reply))
     written = object_from_json(reply.value)
     if reply.code == 200 and is_successful(written):
         return written
-    text = f"the platform answered the write with {reply.code}, which tells nothing"
+    text = f"the platform answered the write with {reply.code}: outcome unknown"
     return result.Failure(Failure(ErrorKind.OUTCOME_UNKNOWN, text))
 
 
@@ -106,16 +106,16 @@
     standing = obj.unwrap() if is_successful(obj) else None
     live = standing is not None and standing.body is not None
     found = f"version {standing.version}" if live else "nothing"
-    text = f"{kind}/{name}: expected version {version}, but {found} stands"
-    remedy = f"look at it with: kumquat-ctl {kind} show {name}"
+    text = f"{kind}/{name}: expected version {version}, but found {found}"
+    remedy = f"show it with: kumquat-ctl {kind} show {name}"
     return Conflict(ErrorKind.CONFLICT, text, remedy, standing)
 
 
 def read_vms(reply: Reply) -> Result[tuple[Vm, ...], Failure]:
-    """Return the VMs that are listed; one that cannot be read is left out."""
+    """Return the listed VMs; invalid ones are skipped."""
     value = reply.value
     if reply.code != 200 or not isinstance(value, dict):
-        return result.Failure(_unexpected(reply))
+        return result.Failure(_unexpected_reply(reply))
     vms = [_vm(item) for item in value.get("items", [])]
     return result.Success(tuple(vm for vm in vms if vm is not None))
 
@@ -125,10 +125,12 @@
         state = VmState(item["state"])
         return Vm(item["name"], item["domain"], item["role"], item["address"], state)
     except (KeyError, TypeError, ValueError) as exc:
-        log.warning("A VM of the list is skipped: {!r}.", exc)
+        log.warning("Skipped an invalid VM of the list: {!r}.", exc)
         return None
 
 
 def _unreadable(failure):
-    text = f"the platform's object cannot be read: {failure.message}"
-    return Failure(ErrorKind.UNAVAILABLE, text, "is kumquat-ctl too old for it?")
+    text = f"cannot read the platform's object: {failure.message}"
+    return Failure(
+        ErrorKind.UNAVAILABLE, text, "check whether kumquat-ctl is too old for it"
+    )
--- a/kumquatshift/adapters/platform_stream.py
+++ b/kumquatshift/adapters/platform_stream.py
@@ -1,4 +1,4 @@
-"""An open watch of the platform over HTTP."""
+"""The HTTP stream of a watch of the platform."""
 
 import json
 
@@ -8,13 +8,13 @@
 from ..errors import ErrorKind, Failure
 from ..platform_port import Expired, Progress
 from .http import told
-from .platform_answers import decoded
+from .platform_answers import decode_or_skip
 
 MAX_LINE_BYTES = 2 * 1024 * 1024
 
 
 class HttpWatch(LineOnlyReceiver):
-    """One open watch: a JSON value a line."""
+    """One open watch; each line of the response is a JSON value."""
 
     delimiter = b"\n"
     MAX_LENGTH = MAX_LINE_BYTES
@@ -24,44 +24,46 @@
         self._on_event = on_event
         self._on_end = on_end
         self._stopped = False
-        fut.addCallbacks(self._opened, self._failed)
+        fut.addCallbacks(self._on_response, self._on_request_failed)
 
     def stop(self):
-        """Close the watch; nothing is told any more."""
+        """Close the watch; no callback is called after this."""
         self._stopped = True
         self._fut.cancel()
         if self.transport is not None:
             self.transport.loseConnection()
 
     def lineReceived(self, line):  # noqa: N802
-        """Tell one change, or how far the platform has come."""
+        """Report one event: a change, or progress of the platform's version."""
         if self._stopped or not line.strip():
             return
         try:
             value = json.loads(line)
         except ValueError:
-            self._end(Failure(ErrorKind.UNAVAILABLE, "a line of the watch is no JSON"))
+            self._end(Failure(ErrorKind.UNAVAILABLE, "a line of the watch is not JSON"))
             self.transport.loseConnection()
             return
-        event = _event(value)
+        event = _parse_event(value)
         if event is not None:
             self._on_event(event)
 
     def connectionLost(self, reason):  # noqa: N802
-        """Tell that the watch has ended."""
+        """Report the end of the watch."""
         self._end(Failure(ErrorKind.UNAVAILABLE, f"the watch ended: {told(reason)}"))
 
-    def _opened(self, response):
+    def _on_response(self, response):
         if self._stopped:
             response.deliverBody(_Abort())
         elif response.code == 200:
             response.deliverBody(self)
         else:
             response.deliverBody(_Abort())
-            self._end(_refused_watch(response.code))
+            self._end(_watch_refused(response.code))
 
-    def _failed(self, reason):
-        self._end(Failure(ErrorKind.UNAVAILABLE, f"no watch: {told(reason)}"))
+    def _on_request_failed(self, reason):
+        self._end(
+            Failure(ErrorKind.UNAVAILABLE, f"cannot open the watch: {told(reason)}")
+        )
 
     def _end(self, failure):
         if not self._stopped:
@@ -70,20 +72,22 @@
 
 
 class _Abort(Protocol):
-    """Closes a connection whose body nobody wants."""
+    """Closes a connection instead of reading its body."""
 
     def connectionMade(self):  # noqa: N802
-        """Close it."""
+        """Close the connection."""
         self.transport.loseConnection()
 
 
-def _refused_watch(code):
+def _watch_refused(code):
     if code == 410:
         return Expired(ErrorKind.NOT_FOUND, "the version to watch from is too old")
-    return Failure(ErrorKind.UNAVAILABLE, f"the platform refused the watch: {code}")
+    return Failure(
+        ErrorKind.UNAVAILABLE, f"the platform refused the watch with status {code}"
+    )
 
 
-def _event(value):
+def _parse_event(value):
     if isinstance(value, dict) and set(value) == {"version"}:
         return Progress(value["version"]) if isinstance(value["version"], int) else None
-    return decoded(value)
+    return decode_or_skip(value)
--- a/kumquatshift/adapters/watcher.py
+++ b/kumquatshift/adapters/watcher.py
@@ -1,4 +1,4 @@
-"""Keeping a watch on the platform, and polling its list of VMs."""
+"""Keeps a watch of the platform open, and polls its list of VMs."""
 
 import random
 from collections.abc import Callable, Iterable
@@ -21,32 +21,33 @@
 
 
 class Backoff:
-    """Growing waits with jitter, so that clients do not come back together."""
+    """Exponential backoff with jitter, so that clients do not retry in step."""
 
     def __init__(self, rng=None):
         self._rng = rng or random.Random()
-        self._tries = 0
+        self._attempts = 0
 
     def reset(self):
-        """Start again with the shortest wait."""
-        self._tries = 0
+        """Return to the shortest wait."""
+        self._attempts = 0
 
     def next_s(self) -> float:
-        """Return the next wait in seconds, between half and all of its step."""
-        step = min(BACKOFF_MAX_S, BACKOFF_FIRST_S * 2**self._tries)
-        self._tries = min(self._tries + 1, 16)
-        return step * (0.5 + self._rng.random() / 2)
+        """Return the next wait: between half and all of a maximum that doubles."""
+        max_wait_s = min(BACKOFF_MAX_S, BACKOFF_FIRST_S * 2**self._attempts)
+        self._attempts = min(self._attempts + 1, 16)
+        return max_wait_s * (0.5 + self._rng.random() / 2)
 
 
 class PlatformWatch:
-    """Tells every change of the platform's objects for as long as it is held.
-
-    It lists, then watches from the list's version. A watch on which nothing
-    came for 10 s is dropped; then, as after `Expired`, it lists anew, so that
-    changes arrive even while every watch hangs.
-    An object that stands in ``known`` but not in a list is told as deleted only
-    if the list is newer: a stale list takes nothing away. Changes may be told
-    twice and out of order; the receiver keeps the highest version of each.
+    """Reports every change of the platform's objects while it is held.
+
+    It lists, then watches from the version of the list. A watch without an event
+    for 10 s is closed; then, as after `Expired`, it lists again, so that changes
+    arrive even while every watch hangs.
+    An object of ``known`` that is missing from a list is reported as deleted only
+    if the list is newer than the object: a stale list deletes nothing. Changes
+    may be reported twice and out of order; the receiver keeps the highest
+    version of each object.
     """
 
     def __init__(
@@ -60,18 +61,18 @@
         self._platform = platform
         self._clock = clock
         self._on_object = on_object
-        self._known = known
+        self._known_objects = known
         self._backoff = Backoff(rng)
         self._held = False
         self._since = None
-        self._list = None
+        self._pending_list = None
         self._watch = None
         self._timer = None
         self._failing = False
 
     @property
     def held(self) -> bool:
-        """Whether the watch is wanted."""
+        """Whether the watch is to be kept open."""
         return self._held
 
     def hold(self, wanted: bool) -> None:
@@ -88,8 +89,8 @@
     def _close(self):
         self._stop_timer()
         self._stop_watch()
-        if self._list is not None:
-            self._list.cancel()
+        if self._pending_list is not None:
+            self._pending_list.cancel()
 
     def _open(self):
         if self._since is None:
@@ -98,35 +99,35 @@
             self._start_watch()
 
     def _relist(self):
-        self._list = fut = self._platform.list_objects()
-        fut.addCallbacks(self._listed, self._list_broke)
+        self._pending_list = fut = self._platform.list_objects()
+        fut.addCallbacks(self._on_list, self._on_list_error)
 
-    def _listed(self, answer):
-        self._list = None
+    def _on_list(self, answer):
+        self._pending_list = None
         if not self._held:
             return
         if not is_successful(answer):
-            self._retry(answer.failure())
+            self._schedule_retry(answer.failure())
             return
         listing = answer.unwrap()
         for obj in listing.items:
             self._on_object(obj)
-        for obj in self._gone(listing):
+        for obj in self._missing_tombstones(listing):
             self._on_object(obj)
         self._since = listing.version
         self._start_watch()
 
-    def _list_broke(self, reason):
-        self._list = None
+    def _on_list_error(self, reason):
+        self._pending_list = None
         reason.trap(CancelledError)
 
-    def _gone(self, listing: Listing):
-        """Return tombstones for what a newer list no longer holds."""
+    def _missing_tombstones(self, listing: Listing):
+        """Return tombstones for known objects that are missing from a newer list."""
         listed = {(obj.kind, obj.name) for obj in listing.items}
         listed.update(listing.skipped)
         return [
             Versioned(obj.kind, obj.name, listing.version, None, obj.created)
-            for obj in list(self._known())
+            for obj in list(self._known_objects())
             if obj.body is not None
             and (obj.kind, obj.name) not in listed
             and obj.version < listing.version
@@ -136,15 +137,15 @@
         self._watch = self._platform.watch_objects(
             self._since, self._on_event, self._on_end
         )
-        self._expect_event()
+        self._restart_silence_timer()
 
     def _on_event(self, event):
         if not self._held:
             return
-        self._expect_event()
+        self._restart_silence_timer()
         self._backoff.reset()
         if self._failing:
-            log.info("The watch works again.")
+            log.info("The watch of the platform works again.")
         self._failing = False
         self._since = max(self._since, event.version)
         if not isinstance(event, Progress):
@@ -156,24 +157,24 @@
             return
         if isinstance(failure, Expired):
             self._since = None
-        self._retry(failure)
+        self._schedule_retry(failure)
 
-    def _retry(self, failure):
+    def _schedule_retry(self, failure):
         if not self._failing:
             log.warning(
-                "No watch: {}; it is tried again until it works.", failure.message
+                "The watch of the platform failed: {}; retrying.", failure.message
             )
         self._failing = True
         self._set_timer(self._backoff.next_s(), self._open)
 
-    def _expect_event(self):
+    def _restart_silence_timer(self):
         self._set_timer(WATCH_SILENCE_S, self._on_silence)
 
     def _on_silence(self):
         self._stop_watch()
         self._since = None
-        text = f"nothing came on the watch for {WATCH_SILENCE_S:g} s"
-        self._retry(Failure(ErrorKind.TIMEOUT, text))
+        text = f"no event on the watch for {WATCH_SILENCE_S:g} s"
+        self._schedule_retry(Failure(ErrorKind.TIMEOUT, text))
 
     def _stop_watch(self):
         if self._watch is not None:
@@ -191,9 +192,9 @@
 
 
 class VmPoller:
-    """Fetches the platform's list of VMs every 5 s while it is held.
+    """Polls the platform's list of VMs every 5 s while it is held.
 
-    A poll that fails changes nothing: the last list stays in use.
+    After a failed poll the last list stays in use.
     """
 
     def __init__(
@@ -218,13 +219,15 @@
             self._loop.stop()
 
     def _poll(self):
-        return self._platform.list_vms().addCallback(self._polled)
+        return self._platform.list_vms().addCallback(self._on_poll)
 
-    def _polled(self, answer):
+    def _on_poll(self, answer):
         if is_successful(answer):
             self._failing = False
             if self._loop.running:
                 self._on_vms(answer.unwrap())
         elif not self._failing:
             self._failing = True
-            log.warning("{}; the last list of VMs stays.", answer.failure().message)
+            log.warning(
+                "Cannot list VMs: {}; keeping the last list.", answer.failure().message
+            )
--- a/kumquatshift/metrics.py
+++ b/kumquatshift/metrics.py
@@ -96,24 +96,24 @@
 
     def __init__(self, now_s: float):
         self._total = _histogram()
-        self._running = _histogram()
-        self._last = _histogram()
+        self._current = _histogram()
+        self._previous = _histogram()
         self._window_started_s = now_s
 
     def record(self, latency_s: float, now_s: float) -> None:
         """Take one latency; beyond the histogram's range it counts as its end."""
-        self._roll(now_s)
+        self._rotate(now_s)
         value_us = int(latency_s * MICROSECONDS)
         value_us = min(max(value_us, MIN_LATENCY_US), MAX_LATENCY_US)
         self._total.record_value(value_us)
-        self._running.record_value(value_us)
+        self._current.record_value(value_us)
 
     def summary(self, profile: str, now_s: float) -> LatencySummary:
         """Return the latencies as they stand."""
-        self._roll(now_s)
+        self._rotate(now_s)
         recent = _histogram()
-        recent.add(self._last)
-        recent.add(self._running)
+        recent.add(self._previous)
+        recent.add(self._current)
         return LatencySummary(
             profile=profile,
             count=self._total.get_total_count(),
@@ -123,14 +123,14 @@
             recent_percentiles=_percentiles(recent),
         )
 
-    def _roll(self, now_s: float) -> None:
-        passed_s = now_s - self._window_started_s
-        if passed_s < WINDOW_S:
+    def _rotate(self, now_s: float) -> None:
+        elapsed_s = now_s - self._window_started_s
+        if elapsed_s < WINDOW_S:
             return
-        self._last, self._running = self._running, self._last
-        self._running.reset()
-        if passed_s >= 2 * WINDOW_S:
-            self._last.reset()
+        self._previous, self._current = self._current, self._previous
+        self._current.reset()
+        if elapsed_s >= 2 * WINDOW_S:
+            self._previous.reset()
         self._window_started_s = now_s
 
 
@@ -145,14 +145,14 @@
 
     def counter(self, name: str, help: str, labels: type[Label]) -> Counter[Label]:
         """Add a counter; its name may be taken once."""
-        self._claim(name)
+        self._check_name_unused(name)
         counter = Counter(name, help, labels)
         self._counters[name] = counter
         return counter
 
     def gauge(self, name: str, help: str, read: Callable[[], float]) -> None:
         """Add a gauge that is read whenever the metrics are."""
-        self._claim(name)
+        self._check_name_unused(name)
         self._gauges[name] = (help, read)
 
     def record_latency(self, profile: str, latency_s: float) -> None:
@@ -189,22 +189,22 @@
 
     def page(self) -> str:
         """Return all metrics as a plain-text page."""
-        return page_of(self.snapshot())
+        return render_page(self.snapshot())
 
-    def _claim(self, name: str) -> None:
+    def _check_name_unused(self, name: str) -> None:
         if name in self._counters or name in self._gauges:
             raise ValueError(f"metric {name} exists already")
 
 
-def page_of(snapshot: MetricsSnapshot) -> str:
+def render_page(snapshot: MetricsSnapshot) -> str:
     """Write a snapshot in Prometheus' text format."""
     lines: list[str] = []
     for counter in snapshot.counters:
         name = counter.name
-        lines += _head(name, counter.help, "counter")
+        lines += _header(name, counter.help, "counter")
         lines += [f"{name}{_labels(reason=k)} {v}" for k, v in counter.values]
     for gauge in snapshot.gauges:
-        lines += _head(gauge.name, gauge.help, "gauge")
+        lines += _header(gauge.name, gauge.help, "gauge")
         lines.append(f"{gauge.name} {gauge.value:g}")
     lines += _latency_lines(snapshot.latencies)
     return "\n".join(lines) + "\n"
@@ -212,8 +212,8 @@
 
 def _latency_lines(latencies: Iterable[LatencySummary]) -> list[str]:
     total, recent = TOTAL_LATENCY, RECENT_LATENCY
-    total_lines = _head(total, "Latency of each profile since the start.", "summary")
-    recent_lines = _head(recent, "Latency of each profile of late.", "summary")
+    total_lines = _header(total, "Latency of each profile since the start.", "summary")
+    recent_lines = _header(recent, "Latency of each profile of late.", "summary")
     for each in latencies:
         total_lines += _quantiles(total, each.profile, each.percentiles)
         total_lines.append(f"{total}_count{_labels(profile=each.profile)} {each.count}")
@@ -233,7 +233,7 @@
     ]
 
 
-def _head(name: str, help: str, kind: str) -> list[str]:
+def _header(name: str, help: str, kind: str) -> list[str]:
     return [f"# HELP {name} {help}", f"# TYPE {name} {kind}"]
 
 
--- a/tests/features/entry.feature
+++ b/tests/features/entry.feature
@@ -17,7 +17,7 @@
     Given an entry's settings at 127.15.0.5
     When the entry is started
     And the entry is told to end once its admin port answers
-    Then the entry ends with status 0 and tells "has handed over and ends"
+    Then the entry ends with status 0 and tells "has handed over; exiting"
 
   Scenario: Settings with a mistake start nothing
     Given an entry's settings at 127.15.0.6
