--- a/kumquatshift/certificates.py
+++ b/kumquatshift/certificates.py
@@ -1,4 +1,4 @@
-"""Checks of certificate files before anything is started with them."""
+"""Checks of certificate files when the settings are loaded."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class CertificateFault:
-    """What is wrong with one file: ``file`` is the key of the settings."""
+    """A fault of one file; ``file`` is its key in the settings."""
 
     file: str
     found: str
@@ -25,7 +25,7 @@
 
 
 class _UnusableFileError(Exception):
-    """A file that gives nothing to check further."""
+    """A file that cannot be read or parsed, so that no further checks apply."""
 
     def __init__(self, found: str, allowed: str):
         super().__init__(found)
@@ -34,7 +34,7 @@
 
 
 def ca_faults(path: str, now: datetime) -> list[CertificateFault]:
-    """Return what is wrong with the certificates of an authority."""
+    """Return the faults of a file of CA certificates."""
     try:
         certificates = _read_certificates(path)
     except _UnusableFileError as exc:
@@ -45,18 +45,18 @@
 def certificate_faults(
     ca: str, certificate: str, key: str, now: datetime, address: str = ""
 ) -> list[CertificateFault]:
-    """Return what is wrong with a set of three files.
+    """Return the faults of a CA file, a certificate and its key.
 
-    The certificate must be of its time, belong to the key, lead to one of the
-    authorities and, if ``address`` is given, name it, since peers compare it
-    with the address that they call (RFC 2818, section 3.1).
+    The certificate must be valid at ``now``, match the key and chain to one of
+    the CAs. If ``address`` is given, it must be among the alternative names, since
+    peers compare these with the address that they call (RFC 2818, section 3.1).
     """
     faults = ca_faults(ca, now)
     chain: list[x509.Certificate] = []
     try:
         chain = _read_certificates(certificate)
         faults += _date_faults("certificate", chain, now)
-        faults += _name_faults(chain[0], address)
+        faults += _address_faults(chain[0], address)
     except _UnusableFileError as exc:
         faults.append(CertificateFault("certificate", exc.found, exc.allowed))
     faults += _key_faults(key, chain)
@@ -70,7 +70,7 @@
         return Path(path).read_bytes()
     except OSError as exc:
         reason = exc.strerror or "unreadable"
-        raise _UnusableFileError(f"'{path}': {reason}", "a file to read") from exc
+        raise _UnusableFileError(f"'{path}': {reason}", "a readable file") from exc
 
 
 def _read_certificates(path: str) -> list[x509.Certificate]:
@@ -79,7 +79,7 @@
         return x509.load_pem_x509_certificates(data)
     except ValueError as exc:
         allowed = "certificates in PEM form"
-        raise _UnusableFileError(f"'{path}', not of that form", allowed) from exc
+        raise _UnusableFileError(f"'{path}', not in that form", allowed) from exc
 
 
 def _date_faults(
@@ -90,14 +90,18 @@
         first, last = each.not_valid_before_utc, each.not_valid_after_utc
         if now > last:
             found = f"one that expired at {last:%Y-%m-%d %H:%M} UTC"
-            faults.append(CertificateFault(file, found, "a certificate of today"))
+            faults.append(
+                CertificateFault(file, found, "a currently valid certificate")
+            )
         if now < first:
-            found = f"one that begins at {first:%Y-%m-%d %H:%M} UTC"
-            faults.append(CertificateFault(file, found, "a certificate of today"))
+            found = f"one not valid before {first:%Y-%m-%d %H:%M} UTC"
+            faults.append(
+                CertificateFault(file, found, "a currently valid certificate")
+            )
     return faults
 
 
-def _name_faults(leaf: x509.Certificate, address: str) -> list[CertificateFault]:
+def _address_faults(leaf: x509.Certificate, address: str) -> list[CertificateFault]:
     if not address or IPv4Address(address) in _addresses(leaf):
         return []
     found = f"one that does not name {address}"
@@ -121,7 +125,7 @@
         return [CertificateFault("key", exc.found, exc.allowed)]
     except (ValueError, TypeError):
         allowed = "a private key in PEM form, without a password"
-        return [CertificateFault("key", f"'{path}', not of that form", allowed)]
+        return [CertificateFault("key", f"'{path}', not in that form", allowed)]
     if chain and _public_bytes(key.public_key()) != _public_bytes(
         chain[0].public_key()
     ):
@@ -138,16 +142,16 @@
     chain: list[x509.Certificate], authorities: list[x509.Certificate]
 ) -> list[CertificateFault]:
     for each in chain:
-        if any(_issued(each, authority) for authority in authorities):
+        if any(_is_issued_by(each, authority) for authority in authorities):
             return []
-        if not any(_issued(each, other) for other in chain):
+        if not any(_is_issued_by(each, other) for other in chain):
             break
     issuer = chain[0].issuer.rfc4514_string()
     allowed = "a certificate that one of [tls] ca has issued"
     return [CertificateFault("certificate", f"one issued by {issuer}", allowed)]
 
 
-def _issued(certificate: x509.Certificate, issuer: x509.Certificate) -> bool:
+def _is_issued_by(certificate: x509.Certificate, issuer: x509.Certificate) -> bool:
     try:
         certificate.verify_directly_issued_by(issuer)
     except (ValueError, TypeError, InvalidSignature):
--- a/kumquatshift/codec.py
+++ b/kumquatshift/codec.py
@@ -1,7 +1,7 @@
-"""Configuration objects to and from JSON values, checked field by field.
+"""Converts configuration objects to and from JSON values, and validates them.
 
-Decoding never stops at the first mistake: the failure lists all of them, each
-with the object, the field, what was found and what is allowed::
+Decoding does not stop at the first invalid field: the failure lists all of them,
+each with the object, the field, the value found and the values allowed::
 
     >>> body_from_json(Kind.PROFILE, "tills", {"mode": "stream", "retries": 1})
     <Failure: bad-input: profile/tills: retries: found 1; no such field; ...>
@@ -94,12 +94,12 @@
 }
 
 ENVELOPE = ("kind", "name", "version", "created", "operation", "deleted", "body")
-REMEDY = "mend the fields named and try again; nothing was changed"
+REMEDY = "correct the listed fields and try again; nothing was changed"
 
 
 @dataclass(frozen=True)
 class Decoded:
-    """A body, or the mistakes that keep a value from being one."""
+    """A body, or the reasons why a value is not a valid body."""
 
     body: Body | None
     mistakes: tuple[Mistake, ...]
@@ -111,38 +111,38 @@
 
 
 def subject(kind: str, name: object) -> str:
-    """Return how messages name an object, for example ``service/tills``."""
+    """Return the name of an object in messages, for example ``service/tills``."""
     return f"{kind}/{name}"
 
 
 def body_to_json(body: Body) -> dict[str, object]:
-    """Return the fields of a body but its name, which the object carries."""
+    """Return the fields of a body without its name, which the object holds."""
     fields = dataclasses.asdict(body)
     del fields["name"]
-    return {key: _plain(value) for key, value in fields.items()}
+    return {key: _to_json_value(value) for key, value in fields.items()}
 
 
 def decode_body(kind: Kind, name: object, value: object) -> Decoded:
-    """Read the fields of one object and collect every mistake."""
-    about = subject(kind, name)
+    """Decode the fields of one object and collect all invalid ones."""
+    object_id = subject(kind, name)
     mistakes = []
-    if not _fits(Name(), name):
-        mistakes.append(Mistake(about, "name", shown(name), Name.allowed))
+    if not _is_valid(Name(), name):
+        mistakes.append(Mistake(object_id, "name", shown(name), Name.allowed))
     if not isinstance(value, Mapping):
         wanted = "allowed: an object with the fields " + ", ".join(FIELDS[kind])
-        mistakes.append(Mistake(about, "body", shown(value), wanted))
+        mistakes.append(Mistake(object_id, "body", shown(value), wanted))
         return Decoded(None, tuple(mistakes))
-    fields, wrong = _read_fields(kind, about, name, value)
+    fields, wrong = _read_fields(kind, object_id, name, value)
     mistakes += wrong
     if mistakes:
         return Decoded(None, tuple(mistakes))
     body = TYPES[kind](name=name, **fields)
-    mistakes = _check_together(about, body)
+    mistakes = _check_related_fields(object_id, body)
     return Decoded(None if mistakes else body, tuple(mistakes))
 
 
 def body_from_json(kind: Kind, name: str, value: object) -> Result[Body, Failure]:
-    """Return the body that a JSON value holds, or all that is wrong with it."""
+    """Decode a body from a JSON value, or list all its invalid fields."""
     decoded = decode_body(kind, name, value)
     if decoded.body is None:
         return result.Failure(bad_input(decoded.mistakes))
@@ -150,10 +150,10 @@
 
 
 def fields_from_text(kind: Kind, texts: Mapping[str, str]) -> dict[str, object]:
-    """Turn the values of an INI section into those that JSON would have.
+    """Convert the values of an INI section to the types they have in JSON.
 
-    A text that is not what its field wants stays as it is, so that
-    `decode_body` can show it.
+    A text that its field does not allow is left unchanged, so that
+    `decode_body` can report it.
     """
     checks = FIELDS[kind]
     return {
@@ -163,7 +163,7 @@
 
 
 def object_to_json(obj: Versioned) -> dict[str, object]:
-    """Return an object as the platform's API shows it."""
+    """Encode an object as in the platform's API."""
     return {
         "kind": obj.kind.value,
         "name": obj.name,
@@ -176,7 +176,7 @@
 
 
 def object_from_json(value: object) -> Result[Versioned, Failure]:
-    """Return the object that a JSON value of the platform's API holds."""
+    """Decode an object from a JSON value of the platform's API."""
     if not isinstance(value, Mapping):
         wanted = "allowed: an object with the fields " + ", ".join(ENVELOPE)
         mistake = Mistake("object", "value", shown(value), wanted)
@@ -204,16 +204,16 @@
 
 
 def bad_input(mistakes) -> Failure:
-    """Return one failure that lists every mistake, a line each."""
+    """Return a failure that lists the mistakes, one on each line."""
     lines = "\n".join(str(mistake) for mistake in mistakes)
     return Failure(ErrorKind.BAD_INPUT, lines, REMEDY)
 
 
-def _plain(value):
+def _to_json_value(value):
     return value.value if isinstance(value, StrEnum) else value
 
 
-def _fits(check, value):
+def _is_valid(check, value):
     try:
         check.read(value)
     except Invalid:
@@ -221,26 +221,26 @@
     return True
 
 
-def _read_fields(kind, about, name, value):
+def _read_fields(kind, object_id, name, value):
     checks = FIELDS[kind]
     fields, mistakes = {}, []
     for key, found in value.items():
         if key == "name":
             if found != name:
                 allowed = f"allowed: {name}, the name of the object, or nothing"
-                mistakes.append(Mistake(about, "name", shown(found), allowed))
+                mistakes.append(Mistake(object_id, "name", shown(found), allowed))
             continue
         if key not in checks:
             allowed = "no such field; " + nearest(str(key), checks)
-            mistakes.append(Mistake(about, str(key), shown(found), allowed))
+            mistakes.append(Mistake(object_id, str(key), shown(found), allowed))
             continue
         try:
             fields[key] = checks[key].read(found)
         except Invalid:
-            mistakes.append(Mistake(about, key, shown(found), checks[key].allowed))
+            mistakes.append(Mistake(object_id, key, shown(found), checks[key].allowed))
     for key in _required(kind):
         if key not in value:
-            mistakes.append(Mistake(about, key, "nothing", checks[key].allowed))
+            mistakes.append(Mistake(object_id, key, "nothing", checks[key].allowed))
     return fields, mistakes
 
 
@@ -252,8 +252,8 @@
     ]
 
 
-def _check_together(about, body):
-    """Check fields of one object against each other."""
+def _check_related_fields(object_id, body):
+    """Check fields of one object that depend on each other."""
     if not isinstance(body, Profile):
         return []
     mistakes = []
@@ -263,24 +263,26 @@
             allowed = (
                 f"allowed: at most idle_timeout_s, {body.idle_timeout_s:g} seconds"
             )
-            mistakes.append(Mistake(about, key, f"{limit:g}", allowed))
+            mistakes.append(Mistake(object_id, key, f"{limit:g}", allowed))
     return mistakes
 
 
 def _check_envelope(value):
-    about = subject(value.get("kind", "?"), value.get("name", "?"))
+    object_id = subject(value.get("kind", "?"), value.get("name", "?"))
     mistakes = []
     checks = {"kind": Choice(Kind), "name": Name(), "version": VERSION}
     if "created" in value:
         checks["created"] = VERSION
     for key, check in checks.items():
-        if not _fits(check, value.get(key)):
-            mistakes.append(Mistake(about, key, shown(value.get(key)), check.allowed))
+        if not _is_valid(check, value.get(key)):
+            mistakes.append(
+                Mistake(object_id, key, shown(value.get(key)), check.allowed)
+            )
     operation = value.get("operation", "")
     if not isinstance(operation, str) or len(operation) > MAX_OPERATION_LENGTH:
         allowed = f"allowed: text of at most {MAX_OPERATION_LENGTH} characters"
-        mistakes.append(Mistake(about, "operation", shown(operation), allowed))
+        mistakes.append(Mistake(object_id, "operation", shown(operation), allowed))
     if not isinstance(value.get("deleted", False), bool):
         found = shown(value["deleted"])
-        mistakes.append(Mistake(about, "deleted", found, "allowed: true, false"))
+        mistakes.append(Mistake(object_id, "deleted", found, "allowed: true, false"))
     return mistakes
--- a/kumquatshift/consistency.py
+++ b/kumquatshift/consistency.py
@@ -1,4 +1,4 @@
-"""Checks across objects: names that must exist, addresses that must differ."""
+"""Checks across objects: references must exist, addresses must be unique."""
 
 from collections.abc import Iterable
 
@@ -22,12 +22,12 @@
 
 
 def key_of(body: Body) -> Key:
-    """Return what singles out an object."""
+    """Return the kind and name that identify an object."""
     return kind_of(body), body.name
 
 
 def find_mistakes(bodies: Iterable[Body]) -> list[Mistake]:
-    """Return every mistake between the objects of one whole configuration."""
+    """Return all missing references and duplicates of a whole configuration."""
     bodies = sorted(bodies, key=key_of)
     names = {kind: {b.name for b in bodies if kind_of(b) is kind} for kind in Kind}
     mistakes = []
@@ -41,22 +41,26 @@
 def check_change(
     standing: Iterable[Body], changed: Iterable[Body]
 ) -> Result[tuple[Body, ...], Failure]:
-    """Check what a change would lead to; return the objects that would stand.
+    """Check a change, and return all objects as they would be after it.
 
-    Mistakes that stood before do not count, so that one of them can be mended
+    Mistakes that existed before are ignored, so that one of them can be corrected
     without the others.
     """
     before = {key_of(body): body for body in standing}
     after = before | {key_of(body): body for body in changed}
-    old = set(find_mistakes(before.values()))
-    new = [mistake for mistake in find_mistakes(after.values()) if mistake not in old]
-    if new:
-        return result.Failure(bad_input(new))
+    known_mistakes = set(find_mistakes(before.values()))
+    new_mistakes = [
+        mistake
+        for mistake in find_mistakes(after.values())
+        if mistake not in known_mistakes
+    ]
+    if new_mistakes:
+        return result.Failure(bad_input(new_mistakes))
     return Success(tuple(after.values()))
 
 
 def references(body: Body) -> dict[str, Key]:
-    """Return the objects that a body names, by the field that names them."""
+    """Return the objects that a body refers to, by field."""
     if isinstance(body, Service):
         return {"profile": (Kind.PROFILE, body.profile)}
     if isinstance(body, Target):
@@ -68,18 +72,18 @@
 
 
 def check_removal(standing: Iterable[Body], key: Key) -> Result[Key, Failure]:
-    """Refuse to remove an object that others name."""
+    """Refuse to remove an object that others refer to."""
     users = [body for body in standing if key in references(body).values()]
     if not users:
         return Success(key)
     names = ", ".join(sorted(subject(kind_of(body), body.name) for body in users))
-    text = f"{subject(*key)} cannot be removed: {names} still name it"
-    remedy = "remove them first, or change them to name another"
+    text = f"{subject(*key)} cannot be removed: referenced by {names}"
+    remedy = "remove them first, or make them refer to another object"
     return result.Failure(Failure(ErrorKind.FORBIDDEN, text, remedy))
 
 
 def unserved(bodies: Iterable[Body]) -> set[str]:
-    """Return the services with no admitted target in a domain that is in."""
+    """Return the services without an admitted target in a domain that is in."""
     bodies = list(bodies)
     domains = {b.name for b in bodies if isinstance(b, Domain)}
     domains -= {b.name for b in bodies if b == Domain(b.name, DomainState.OUT)}
@@ -94,13 +98,13 @@
 
 
 def _check_references(body, names):
-    about = subject(kind_of(body), body.name)
+    object_id = subject(kind_of(body), body.name)
     mistakes = []
     for field, (kind, name) in references(body).items():
         if name not in names[kind]:
             hint = nearest(name, names[kind]) if names[kind] else "none exists yet"
             allowed = f"there is no {kind} of that name; {hint}"
-            mistakes.append(Mistake(about, field, repr(name), allowed))
+            mistakes.append(Mistake(object_id, field, repr(name), allowed))
     return mistakes
 
 
@@ -112,8 +116,8 @@
         place = tuple(getattr(body, field) for field in fields)
         other = seen.setdefault(place, body)
         if other is not body:
-            about = subject(kind_of(body), body.name)
+            object_id = subject(kind_of(body), body.name)
             found = ", ".join(str(part) for part in place)
-            allowed = f"{subject(kind_of(body), other.name)} is there already"
-            mistakes.append(Mistake(about, "/".join(fields), found, allowed))
+            allowed = f"already used by {subject(kind_of(body), other.name)}"
+            mistakes.append(Mistake(object_id, "/".join(fields), found, allowed))
     return mistakes
--- a/kumquatshift/context.py
+++ b/kumquatshift/context.py
@@ -1,4 +1,4 @@
-"""What a program sees of the world around it."""
+"""The environment of a program run."""
 
 import os
 import sys
@@ -11,7 +11,7 @@
 class Environment:
     """Standard streams and environment variables of one program run.
 
-    A test swaps any of them::
+    Tests can replace any of them::
 
         env = Environment(stdout=io.StringIO())
         status = core.main(["entry", "--check", "entry.ini"], env)
--- a/kumquatshift/core.py
+++ b/kumquatshift/core.py
@@ -1,4 +1,4 @@
-"""Where every program starts."""
+"""Entry point of all programs."""
 
 from collections.abc import Sequence
 from importlib import import_module
@@ -17,8 +17,7 @@
 def main(args: Sequence[str], env: Environment) -> ExitStatus:
     """Run the program that the first argument names, with the other arguments.
 
-    A program is imported only when it is run: each needs libraries that the
-    others do without.
+    Only that program is imported: each needs libraries that the others do not.
     """
     if not args or args[0] not in PROGRAMS:
         names = ", ".join(PROGRAMS)
--- a/kumquatshift/errors.py
+++ b/kumquatshift/errors.py
@@ -1,4 +1,4 @@
-"""The closed list of error kinds, and the table from kind to answer."""
+"""The kinds of errors, and their status codes in each protocol."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -25,8 +25,8 @@
 
 
 @dataclass(frozen=True)
-class Answer:
-    """How one kind of error is told to each sort of peer.
+class ErrorCodes:
+    """The codes of one kind of error for CoAP, the shell and gRPC.
 
     ``coap_code`` is the code byte of RFC 7252, section 5.9; for example 0xA3
     is 5.03 (Service Unavailable).
@@ -37,28 +37,36 @@
     grpc_status: StatusCode
 
 
-ANSWERS: dict[ErrorKind, Answer] = {
-    ErrorKind.BAD_INPUT: Answer(0x80, ExitStatus.USAGE, StatusCode.INVALID_ARGUMENT),
-    ErrorKind.BAD_SETTINGS: Answer(
+ANSWERS: dict[ErrorKind, ErrorCodes] = {
+    ErrorKind.BAD_INPUT: ErrorCodes(
+        0x80, ExitStatus.USAGE, StatusCode.INVALID_ARGUMENT
+    ),
+    ErrorKind.BAD_SETTINGS: ErrorCodes(
         0xA0, ExitStatus.BAD_SETTINGS, StatusCode.FAILED_PRECONDITION
     ),
-    ErrorKind.NOT_FOUND: Answer(0x84, ExitStatus.NOT_FOUND, StatusCode.NOT_FOUND),
-    ErrorKind.CONFLICT: Answer(0x89, ExitStatus.CONFLICT, StatusCode.ABORTED),
-    ErrorKind.UNAVAILABLE: Answer(0xA3, ExitStatus.UNAVAILABLE, StatusCode.UNAVAILABLE),
-    ErrorKind.TIMEOUT: Answer(0xA4, ExitStatus.TIMEOUT, StatusCode.DEADLINE_EXCEEDED),
-    ErrorKind.FORBIDDEN: Answer(0x83, ExitStatus.REFUSED, StatusCode.PERMISSION_DENIED),
-    ErrorKind.OVERLOADED: Answer(
+    ErrorKind.NOT_FOUND: ErrorCodes(0x84, ExitStatus.NOT_FOUND, StatusCode.NOT_FOUND),
+    ErrorKind.CONFLICT: ErrorCodes(0x89, ExitStatus.CONFLICT, StatusCode.ABORTED),
+    ErrorKind.UNAVAILABLE: ErrorCodes(
+        0xA3, ExitStatus.UNAVAILABLE, StatusCode.UNAVAILABLE
+    ),
+    ErrorKind.TIMEOUT: ErrorCodes(
+        0xA4, ExitStatus.TIMEOUT, StatusCode.DEADLINE_EXCEEDED
+    ),
+    ErrorKind.FORBIDDEN: ErrorCodes(
+        0x83, ExitStatus.REFUSED, StatusCode.PERMISSION_DENIED
+    ),
+    ErrorKind.OVERLOADED: ErrorCodes(
         0x9D, ExitStatus.UNAVAILABLE, StatusCode.RESOURCE_EXHAUSTED
     ),
-    ErrorKind.NOT_RUN: Answer(0xA3, ExitStatus.REFUSED, StatusCode.ABORTED),
-    ErrorKind.OUTCOME_UNKNOWN: Answer(0xA4, ExitStatus.ERROR, StatusCode.UNKNOWN),
-    ErrorKind.INTERNAL: Answer(0xA0, ExitStatus.ERROR, StatusCode.INTERNAL),
+    ErrorKind.NOT_RUN: ErrorCodes(0xA3, ExitStatus.REFUSED, StatusCode.ABORTED),
+    ErrorKind.OUTCOME_UNKNOWN: ErrorCodes(0xA4, ExitStatus.ERROR, StatusCode.UNKNOWN),
+    ErrorKind.INTERNAL: ErrorCodes(0xA0, ExitStatus.ERROR, StatusCode.INTERNAL),
 }
 
 
 @dataclass(frozen=True)
 class Failure:
-    """One failed operation, told so that the reader knows the remedy.
+    """One failed operation, with a message and a remedy for the user.
 
     Used as the failure value of ``returns.result.Result``::
 
--- a/kumquatshift/eventlog.py
+++ b/kumquatshift/eventlog.py
@@ -1,8 +1,9 @@
-"""Decisions as structured lines: one JSON object a line, bounded, never blocking.
+"""Structured log of decisions: one JSON object a line, rate limited, non-blocking.
 
-Each event has a budget of lines a second, so that a flood of one kind costs a
-bounded number of lines and leaves room for the others; what is left out is
-counted and told. A reader that does not read costs lines, never time.
+Each kind of event has a limit of lines per second, so that a flood of one kind
+writes a bounded number of lines and does not displace the others; suppressed
+lines are counted and reported. If the reader of the log is slow, lines are
+suppressed; the process never waits for it.
 """
 
 from __future__ import annotations
@@ -13,20 +14,20 @@
 
 from .direct.events import Event
 
-# Routine lines are for tracing one flow among many; the others explain failures
-# and come first. Per second and event.
+# Limits per second and kind of event. Routine lines serve to trace single flows;
+# the others explain failures and get the higher limit.
 ROUTINE_LINES_PER_S = 20
 OTHER_LINES_PER_S = 50
 ROUTINE = frozenset({Event.FLOW_OPENED})
 
-# Some hundred lines: enough for a reader that pauses for a moment.
+# Some hundred lines: covers a short pause of the reader.
 MAX_BUFFERED_BYTES = 64 * 1024
 
 
 class EventLog:
-    """Writes events of one process to a descriptor.
+    """Writes the events of one process to a file descriptor.
 
-    ``flow_text`` turns a flow's key into text for people.
+    ``flow_text`` converts the key of a flow to readable text.
     """
 
     def __init__(self, clock, name: str, flow_text, descriptor: int = 1):
@@ -38,26 +39,26 @@
         self.counts: dict[Event, int] = dict.fromkeys(Event, 0)
         self.lines_left_out = 0
         self._second = 0
-        self._written: dict[Event, int] = {}
-        self._left_out: dict[Event, int] = {}
+        self._written_counts: dict[Event, int] = {}
+        self._suppressed_counts: dict[Event, int] = {}
         os.set_blocking(descriptor, False)
 
     def emit(self, event: Event, **inputs: object) -> None:
-        """Write one event with the inputs that decided it."""
+        """Write one event with the inputs of the decision."""
         self.counts[event] += 1
         second = int(self._clock.seconds())
         if second != self._second:
-            self._begin(second)
-        written = self._written.get(event, 0)
+            self._start_second(second)
+        written = self._written_counts.get(event, 0)
         budget = ROUTINE_LINES_PER_S if event in ROUTINE else OTHER_LINES_PER_S
         if written >= budget:
-            self._leave_out(event)
+            self._suppress(event)
             return
-        self._written[event] = written + 1
+        self._written_counts[event] = written + 1
         self._write(event, inputs)
 
     def flush(self) -> None:
-        """Write what is buffered, as far as the reader takes it."""
+        """Write as much of the buffer as the descriptor accepts."""
         if not self._buffer:
             return
         try:
@@ -65,25 +66,25 @@
         except BlockingIOError:
             return
         except OSError:
-            # Nobody reads any more; there is no other place to tell it.
+            # The reader is gone; there is no other place to report this.
             written = len(self._buffer)
         self._buffer = self._buffer[written:]
 
-    def _leave_out(self, event: Event) -> None:
+    def _suppress(self, event: Event) -> None:
         self.lines_left_out += 1
-        self._left_out[event] = self._left_out.get(event, 0) + 1
+        self._suppressed_counts[event] = self._suppressed_counts.get(event, 0) + 1
 
-    def _begin(self, second: int) -> None:
+    def _start_second(self, second: int) -> None:
         self._second = second
-        self._written.clear()
-        if self._left_out:
-            counts = {event.value: n for event, n in self._left_out.items()}
-            self._left_out = {}
+        self._written_counts.clear()
+        if self._suppressed_counts:
+            counts = {event.value: n for event, n in self._suppressed_counts.items()}
+            self._suppressed_counts = {}
             self._write(Event.LINES_LEFT_OUT, {"counts": counts})
 
     def _write(self, event: Event, inputs: dict[str, object]) -> None:
         if len(self._buffer) >= MAX_BUFFERED_BYTES:
-            self._leave_out(event)
+            self._suppress(event)
             self.flush()
             return
         flow = inputs.get("flow")
--- a/kumquatshift/fields.py
+++ b/kumquatshift/fields.py
@@ -1,4 +1,4 @@
-"""Checks of single fields: what a value may be, and how a wrong one is told."""
+"""Validators of single fields, and the messages for invalid values."""
 
 import math
 import re
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Mistake:
-    """One wrong field of one object, told so that it can be mended at sight."""
+    """One invalid field of an object, with the value found and what is allowed."""
 
     subject: str
     field: str
@@ -27,26 +27,26 @@
 
 
 class Invalid(Exception):  # noqa: N818
-    """A value is not what its field allows."""
+    """A value is not allowed in its field."""
 
 
 class Check(Protocol):
-    """What one field allows."""
+    """The validator of a field; ``allowed`` describes the valid values."""
 
     allowed: str
 
     def read(self, value: object) -> object:
-        """Return the typed value; raise `Invalid` for any other."""
+        """Return the typed value; raises `Invalid` if it is not allowed."""
         ...
 
     def from_text(self, text: str) -> object:
-        """Turn an INI value into what `read` takes."""
+        """Convert an INI value to the type that `read` expects."""
         ...
 
 
 @dataclass(frozen=True)
 class Number:
-    """A finite number from ``low`` to ``high``, both included."""
+    """A finite number from ``low`` to ``high``, inclusive."""
 
     low: float
     high: float
@@ -67,7 +67,7 @@
         return float(value)
 
     def from_text(self, text):
-        """Return a number, or the text itself when it is none."""
+        """Return a number, or the text itself if it is not a number."""
         try:
             return float(text)
         except ValueError:
@@ -76,7 +76,7 @@
 
 @dataclass(frozen=True)
 class Whole:
-    """A whole number from ``low`` to ``high``, both included."""
+    """An integer from ``low`` to ``high``, inclusive."""
 
     low: int
     high: int
@@ -95,7 +95,7 @@
         return value
 
     def from_text(self, text):
-        """Return a whole number, or the text itself when it is none."""
+        """Return an integer, or the text itself if it is not an integer."""
         try:
             return int(text)
         except ValueError:
@@ -104,13 +104,13 @@
 
 @dataclass(frozen=True)
 class Choice:
-    """One of the words of an enumeration."""
+    """One of the values of an enumeration."""
 
     words: type[StrEnum]
 
     @property
     def allowed(self):
-        """List the words."""
+        """Return the list of values."""
         return "allowed: " + ", ".join(self.words)
 
     def read(self, value):
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True)
 class Address:
-    """An IPv4 address that one machine can have."""
+    """A unicast IPv4 address."""
 
     allowed = "allowed: an IPv4 address such as 10.0.0.1"
 
@@ -151,7 +151,7 @@
 class Name:
     """The name of an object."""
 
-    allowed = "allowed: 1 to 63 letters, digits, '-', '_' or '.', no sign first"
+    allowed = "allowed: 1 to 63 letters, digits, '-', '_' or '.', letter or digit first"
 
     def read(self, value):
         """Return the name."""
@@ -165,7 +165,7 @@
 
 
 def shown(value: object) -> str:
-    """Return a value as an error message shows it, cut to a readable length."""
+    """Return a value for an error message, truncated to a readable length."""
     text = repr(value)
     if len(text) <= MAX_TEXT_SHOWN:
         return text
@@ -173,7 +173,7 @@
 
 
 def nearest(word: str, known: Iterable[str]) -> str:
-    """Return a hint that names the known word nearest to a mistyped one."""
+    """Return a hint with the known word that is most similar, or all of them."""
     known = sorted(str(one) for one in known)
     close = get_close_matches(word, known, n=1)
     if close:
--- a/kumquatshift/keys.py
+++ b/kumquatshift/keys.py
@@ -1,4 +1,4 @@
-"""Keyed digests that prove that a datagram is from an entry of the site.
+"""Authentication of datagrams between the entries of a site by keyed digests.
 
 A sealed datagram is a digest of `DIGEST_BYTES` followed by the data. The
 digest is BLAKE2b (RFC 7693) with a key from the settings::
@@ -6,10 +6,9 @@
     sealer = Sealer.from_config(cfg.keys)
     data = sealer.open(sealer.seal(b"beat"))
 
-`open` takes the current and the previous key, so that keys are changed over
-without a moment in which entries refuse each other. The digest neither hides
-the data nor tells a replayed datagram from a new one; heartbeats carry
-sequence numbers for that.
+`open` accepts the current and the previous key, so that during a key rotation
+entries never reject each other. The digest neither encrypts the data nor detects
+replayed datagrams; heartbeats have sequence numbers for that.
 """
 
 from hashlib import blake2b
@@ -24,10 +23,10 @@
 
 
 class Sealer:
-    """Seals datagrams with one key, and opens what either of two has sealed.
+    """Seals datagrams with the current key, and opens them with either key.
 
-    Without a key the digest only finds damage; settings allow that on loopback
-    addresses alone.
+    Without a key the digest only detects corruption; the settings allow that on
+    loopback addresses only.
     """
 
     def __init__(self, current: bytes, previous: bytes | None = None):
@@ -36,16 +35,16 @@
 
     @classmethod
     def from_config(cls, cfg: KeysSection) -> Self:
-        """Make a sealer from the section ``keys`` of the settings."""
+        """Return a sealer for the section ``keys`` of the settings."""
         previous = _bytes_of(cfg.previous) if cfg.previous else None
         return cls(_bytes_of(cfg.current), previous)
 
     def seal(self, data: bytes) -> bytes:
-        """Return ``data`` with its digest in front."""
+        """Return ``data`` prefixed with its digest."""
         return _digest(data, self._current) + data
 
     def open(self, datagram: bytes) -> bytes | None:
-        """Return the data of a sealed datagram, None if it is not authentic."""
+        """Return the data of a sealed datagram, or None if it is not authentic."""
         if len(datagram) < DIGEST_BYTES:
             return None
         digest = datagram[:DIGEST_BYTES]
--- a/kumquatshift/logs.py
+++ b/kumquatshift/logs.py
@@ -1,13 +1,13 @@
-"""Log lines: short sentences, each with the fixed prefix of its part.
+"""Logging: short sentences with the prefix of the part that logs them.
 
-Set up once at start, then every module asks for the logger of its part::
+`setup` is called once at start; each module gets the logger of its part::
 
     setup(cfg.log.level, cfg.log.format, env.stderr, secrets=(cfg.keys.current,))
     log = logger_for(Part.MEMBERSHIP)
     log.info("e3 is suspected: no heartbeat for {:.1f} s.", silent_s)
 
 prints ``2026-01-31T08:00:00.000Z INFO    membership: e3 is suspected: ...``.
-What a packet can cause goes through `RateLimited`.
+Lines that a packet can cause are logged through `RateLimited`.
 """
 
 import json
@@ -41,7 +41,7 @@
 
 
 class Part(StrEnum):
-    """Parts of the programs; the value is the prefix of their lines."""
+    """Parts of the programs; the value is the prefix of their log lines."""
 
     ENTRY = "entry"
     PACKETS = "packets"
@@ -68,17 +68,17 @@
     stream: TextIO,
     secrets: Iterable[Secret | None] = (),
 ) -> None:
-    """Send all lines of ``level`` and above to ``stream``.
+    """Write all lines of ``level`` and above to ``stream``.
 
-    The bytes of ``secrets`` never reach the stream, in whatever form a line or
-    a traceback holds them. Warnings and errors of libraries come along under
-    the prefix of `Part.LIBRARY`.
+    ``secrets`` are redacted in lines and tracebacks, in hexadecimal form as well
+    as in the form that `repr` gives bytes. Warnings and errors of libraries are
+    logged under the prefix of `Part.LIBRARY`.
     """
-    hidden = _hidden_forms(secrets)
+    secret_forms = _secret_forms(secrets)
     render = _json_line if format is LogFormat.JSON else _human_line
 
     def write(message) -> None:
-        stream.write(render(_line_of(message.record, hidden)) + "\n")
+        stream.write(render(_make_line(message.record, secret_forms)) + "\n")
         stream.flush()
 
     logger.remove()
@@ -94,13 +94,13 @@
 
 
 def logger_for(part: Part | str):
-    """Return the logger of one part; `ValueError` if there is no such part."""
+    """Return the logger of a part; raises `ValueError` if there is no such part."""
     return logger.bind(part=Part(part))
 
 
 @dataclass(frozen=True)
 class _Line:
-    """What one line tells, free of secrets."""
+    """The fields of one log line, with secrets redacted."""
 
     time: str
     level: str
@@ -109,19 +109,19 @@
     traceback: tuple[str, ...]
 
 
-def _line_of(record: dict[str, Any], hidden: list[str]) -> _Line:
+def _make_line(record: dict[str, Any], secret_forms: list[str]) -> _Line:
     return _Line(
-        time=_when(record),
+        time=_timestamp(record),
         level=record["level"].name,
         part=str(record["extra"]["part"]),
-        message=_without(hidden, record["message"]),
-        traceback=tuple(_without(hidden, each) for each in _traceback(record)),
+        message=_redact(secret_forms, record["message"]),
+        traceback=tuple(_redact(secret_forms, each) for each in _traceback(record)),
     )
 
 
 def _human_line(line: _Line) -> str:
-    head = f"{line.time} {line.level:<7} {line.part}: {_one_line(line.message)}"
-    return head + "".join(f"\n    {_one_line(each)}" for each in line.traceback)
+    head = f"{line.time} {line.level:<7} {line.part}: {_escape_controls(line.message)}"
+    return head + "".join(f"\n    {_escape_controls(each)}" for each in line.traceback)
 
 
 def _json_line(line: _Line) -> str:
@@ -131,13 +131,13 @@
     return json.dumps(fields)
 
 
-def _when(record: dict[str, Any]) -> str:
+def _timestamp(record: dict[str, Any]) -> str:
     moment = record["time"].astimezone(UTC)
     return moment.isoformat(timespec="milliseconds").replace("+00:00", "Z")
 
 
-def _one_line(text: str) -> str:
-    """Escape line ends and other control characters, which a peer may send."""
+def _escape_controls(text: str) -> str:
+    """Escape line ends and other control characters, which peers can inject."""
     return "".join(each if each.isprintable() else ascii(each)[1:-1] for each in text)
 
 
@@ -148,13 +148,13 @@
     return "".join(format_exception(exc.value)).splitlines()
 
 
-def _without(hidden: list[str], text: str) -> str:
-    for form in hidden:
+def _redact(secret_forms: list[str], text: str) -> str:
+    for form in secret_forms:
         text = text.replace(form, HIDDEN)
     return text
 
 
-def _hidden_forms(secrets: Iterable[Secret | None]) -> list[str]:
+def _secret_forms(secrets: Iterable[Secret | None]) -> list[str]:
     values = [secret.value for secret in secrets if secret is not None]
     forms = []
     for value in values:
@@ -169,14 +169,14 @@
 
 @cache
 def _begin_twisted_logging() -> None:
-    """Take Twisted's events; it can be told only once in a process."""
+    """Observe Twisted's log; `beginLoggingTo` works only once in a process."""
     globalLogBeginner.beginLoggingTo(
         [_observe_twisted], discardBuffer=False, redirectStandardIO=False
     )
 
 
 class _LibraryHandler(logging.Handler):
-    """Passes on what libraries log through the standard `logging` module."""
+    """Forwards the records that libraries log through the `logging` module."""
 
     def emit(self, record: logging.LogRecord) -> None:
         level = "ERROR" if record.levelno >= logging.ERROR else "WARNING"
@@ -185,19 +185,22 @@
 
 
 def _observe_twisted(event: dict[str, Any]) -> None:
-    """Pass on Twisted's warnings and errors, such as an unhandled failure."""
+    """Forward Twisted's warnings and errors, such as unhandled failures."""
     level = TWISTED_LEVELS.get(event.get("log_level"))
     if level is None:
         return
     failure = event.get("log_failure")
     exc = failure.value if failure else None
     target = logger_for(Part.LIBRARY).opt(exception=exc)
-    target.log(level, "{}", formatEvent(event) or "an unhandled failure")
+    target.log(level, "{}", formatEvent(event) or "unhandled failure")
 
 
 @dataclass
 class _Window:
-    """Lines of one key since the last that was written; ``last`` is not yet."""
+    """Lines of one key that were suppressed since one was last written.
+
+    ``last`` is the latest suppressed line.
+    """
 
     started_s: float
     suppressed: int = 0
@@ -205,12 +208,12 @@
 
 
 class RateLimited:
-    """Writes at most one line a key in ``every_s`` seconds, and counts the rest.
+    """Writes at most one line per key in ``every_s`` seconds, and counts the rest.
 
-    The first line of a key is written at once. When the time is over, on
-    ``clock``, the last of those that came after it is written, with the number
-    of the others. Keys name a kind of line, never a caller: beyond
-    `MAX_RATE_LIMIT_KEYS` they share one limit::
+    The first line of a key is written at once. After ``every_s`` on ``clock``,
+    the latest of the lines that followed is written, with the number of the
+    others. A key names a kind of line, never a caller: beyond
+    `MAX_RATE_LIMIT_KEYS` keys share one limit::
 
         limited = RateLimited(logger_for(Part.PACKETS), reactor)
         limited.warning(DropReason.MALFORMED, "A packet from {} is malformed.", host)
@@ -223,26 +226,26 @@
         self._windows: dict[Hashable, _Window] = {}
 
     def info(self, key: Hashable, message: str, *args: Any) -> None:
-        """Write a line of level INFO, unless the key is over its limit."""
+        """Log a line at level INFO, unless the key is over its limit."""
         self._write("INFO", key, message, args)
 
     def warning(self, key: Hashable, message: str, *args: Any) -> None:
-        """Write a line of level WARNING, unless the key is over its limit."""
+        """Log a line at level WARNING, unless the key is over its limit."""
         self._write("WARNING", key, message, args)
 
     def error(self, key: Hashable, message: str, *args: Any) -> None:
-        """Write a line of level ERROR, unless the key is over its limit."""
+        """Log a line at level ERROR, unless the key is over its limit."""
         self._write("ERROR", key, message, args)
 
     def _write(self, level: str, key: Hashable, message: str, args: tuple) -> None:
         now_s = self._clock.seconds()
         window = self._windows.get(key)
         if window is None and len(self._windows) >= MAX_RATE_LIMIT_KEYS:
-            self._forget_old(now_s)
+            self._evict_expired(now_s)
             if len(self._windows) >= MAX_RATE_LIMIT_KEYS:
                 key = OVERFLOW_KEY
                 window = self._windows.get(key)
-        if window is None or self._is_over(window, now_s):
+        if window is None or self._is_expired(window, now_s):
             self._windows[key] = _Window(now_s)
             self._log.log(level, message, *args)
             return
@@ -250,17 +253,19 @@
         window.last = (message, args)
         if window.suppressed == 1:
             left_s = window.started_s + self._every_s - now_s
-            self._clock.callLater(left_s, self._tell, level, key)
+            self._clock.callLater(left_s, self._write_suppressed, level, key)
 
-    def _is_over(self, window: _Window, now_s: float) -> bool:
+    def _is_expired(self, window: _Window, now_s: float) -> bool:
         return not window.suppressed and now_s >= window.started_s + self._every_s
 
-    def _forget_old(self, now_s: float) -> None:
-        old = [key for key, each in self._windows.items() if self._is_over(each, now_s)]
+    def _evict_expired(self, now_s: float) -> None:
+        old = [
+            key for key, each in self._windows.items() if self._is_expired(each, now_s)
+        ]
         for key in old:
             del self._windows[key]
 
-    def _tell(self, level: str, key: Hashable) -> None:
+    def _write_suppressed(self, level: str, key: Hashable) -> None:
         window = self._windows[key]
         self._windows[key] = _Window(self._clock.seconds())
         message, args = window.last
--- a/kumquatshift/metrics.py
+++ b/kumquatshift/metrics.py
@@ -1,8 +1,8 @@
-"""Counters by reason, gauges and latencies of one process.
+"""Counters, gauges and latency summaries of one process.
 
-Labels of counters are members of closed enums, so the page is bounded; a
-latency is kept for each profile. The text page has the exposition format that
-Prometheus reads (version 0.0.4)::
+Labels of counters are members of enums, so the size of the page is bounded;
+latencies are recorded for each profile. The page has the text exposition format
+of Prometheus (version 0.0.4)::
 
     metrics = Metrics(reactor)
     drops = metrics.counter("kumquatshift_drops_total", "Drops.", DropReason)
@@ -36,7 +36,7 @@
 
 
 class Counter(Generic[Label]):
-    """Counts that only grow, one for each member of an enum."""
+    """Counts that only increase, one for each member of an enum."""
 
     def __init__(self, name: str, help: str, labels: type[Label]):
         self.name = name
@@ -44,13 +44,13 @@
         self.values: dict[Label, int] = dict.fromkeys(labels, 0)
 
     def add(self, label: Label, amount: int = 1) -> None:
-        """Add ``amount`` to the count of ``label``; `KeyError` for a stranger."""
+        """Add ``amount`` to a count; raises `KeyError` for an unknown label."""
         self.values[label] += amount
 
 
 @dataclass(frozen=True)
 class CounterValues:
-    """What one counter stood at."""
+    """The values of one counter in a snapshot."""
 
     name: str
     help: str
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class GaugeValue:
-    """What one gauge stood at."""
+    """The value of one gauge in a snapshot."""
 
     name: str
     help: str
@@ -70,8 +70,8 @@
 class LatencySummary:
     """Latencies of one profile, in seconds.
 
-    ``percentiles`` holds pairs such as ``(99.0, 0.012)``. The recent ones are
-    those of the last whole window of `WINDOW_S` and of the one that runs.
+    ``percentiles`` holds pairs such as ``(99.0, 0.012)``. Recent latencies are
+    those of the last complete window of `WINDOW_S` and of the current one.
     """
 
     profile: str
@@ -92,7 +92,7 @@
 
 
 class LatencyRecorder:
-    """Latencies of one profile: since the start, and of late."""
+    """Latencies of one profile: since the start, and recent ones."""
 
     def __init__(self, now_s: float):
         self._total = _histogram()
@@ -101,7 +101,7 @@
         self._window_started_s = now_s
 
     def record(self, latency_s: float, now_s: float) -> None:
-        """Take one latency; beyond the histogram's range it counts as its end."""
+        """Record one latency, clamped to the range of the histogram."""
         self._rotate(now_s)
         value_us = int(latency_s * MICROSECONDS)
         value_us = min(max(value_us, MIN_LATENCY_US), MAX_LATENCY_US)
@@ -109,7 +109,7 @@
         self._current.record_value(value_us)
 
     def summary(self, profile: str, now_s: float) -> LatencySummary:
-        """Return the latencies as they stand."""
+        """Return a summary of the latencies so far."""
         self._rotate(now_s)
         recent = _histogram()
         recent.add(self._previous)
@@ -144,21 +144,21 @@
         self._latencies: dict[str, LatencyRecorder] = {}
 
     def counter(self, name: str, help: str, labels: type[Label]) -> Counter[Label]:
-        """Add a counter; its name may be taken once."""
+        """Add a counter; raises `ValueError` if the name is already in use."""
         self._check_name_unused(name)
         counter = Counter(name, help, labels)
         self._counters[name] = counter
         return counter
 
     def gauge(self, name: str, help: str, read: Callable[[], float]) -> None:
-        """Add a gauge that is read whenever the metrics are."""
+        """Add a gauge; ``read`` is called for each snapshot."""
         self._check_name_unused(name)
         self._gauges[name] = (help, read)
 
     def record_latency(self, profile: str, latency_s: float) -> None:
-        """Take the latency of one request or opening under its profile.
+        """Record the latency of one request or flow opening under its profile.
 
-        Beyond `MAX_PROFILES` the rest share the name `OTHER_PROFILES`.
+        Beyond `MAX_PROFILES`, profiles share the name `OTHER_PROFILES`.
         """
         now_s = self._clock.seconds()
         recorder = self._latencies.get(profile)
@@ -169,11 +169,11 @@
         recorder.record(latency_s, now_s)
 
     def forget_profile(self, profile: str) -> None:
-        """Drop the latencies of a profile that is no more."""
+        """Drop the latencies of a profile that was removed."""
         self._latencies.pop(profile, None)
 
     def snapshot(self) -> MetricsSnapshot:
-        """Return all metrics as they stand."""
+        """Return the current values of all metrics."""
         now_s = self._clock.seconds()
         return MetricsSnapshot(
             counters=tuple(_counter_values(each) for each in self._counters.values()),
@@ -193,11 +193,11 @@
 
     def _check_name_unused(self, name: str) -> None:
         if name in self._counters or name in self._gauges:
-            raise ValueError(f"metric {name} exists already")
+            raise ValueError(f"metric {name} already exists")
 
 
 def render_page(snapshot: MetricsSnapshot) -> str:
-    """Write a snapshot in Prometheus' text format."""
+    """Render a snapshot in the text format of Prometheus."""
     lines: list[str] = []
     for counter in snapshot.counters:
         name = counter.name
--- a/kumquatshift/platform_port.py
+++ b/kumquatshift/platform_port.py
@@ -1,4 +1,4 @@
-"""The port to the platform: its objects, their changes, and its list of VMs."""
+"""Interface to the platform: its objects, their changes, and its VMs."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 
 class VmState(StrEnum):
-    """What the platform says of a VM; the list lags behind the truth."""
+    """State of a VM according to the platform, whose list may be outdated."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class Vm:
-    """One VM of the platform's list; ``role`` is ``entry`` for the system's own."""
+    """One VM of the platform's list; entries have the ``role`` ``entry``."""
 
     name: str
     domain: str
@@ -31,9 +31,9 @@
 
 @dataclass(frozen=True)
 class Listing:
-    """All objects that stood at ``version`` of the platform's counter.
+    """All objects that existed at ``version`` of the platform's counter.
 
-    ``skipped`` names objects that could not be read; they exist all the same.
+    ``skipped`` names objects that exist but could not be decoded.
     """
 
     version: int
@@ -43,21 +43,21 @@
 
 @dataclass(frozen=True)
 class Conflict(Failure):
-    """Another write came first; ``standing`` is what it left, None if nothing."""
+    """Another write came first; ``standing`` is the current object, if any."""
 
     standing: Versioned | None = None
 
 
 @dataclass(frozen=True)
 class Progress:
-    """A sign of life of a watch: all changes up to ``version`` were told."""
+    """Event of a watch: all changes up to ``version`` have been reported."""
 
     version: int
 
 
 @dataclass(frozen=True)
 class Expired(Failure):
-    """The platform no longer knows the changes since the version asked for."""
+    """The platform no longer has the changes since the requested version."""
 
 
 WatchEvent = Versioned | Progress
@@ -67,33 +67,33 @@
     """An open watch."""
 
     def stop(self) -> None:
-        """Close it; ``on_end`` is not called any more."""
+        """Close the watch without a call of ``on_end``."""
         ...
 
 
 class Platform(Protocol):
-    """The platform's object API; every answer arrives within a time-out."""
+    """The platform's object API; every call ends within a time-out."""
 
     def list_objects(self, kind: Kind | None = None) -> Deferred:
-        """Give ``Result[Listing, Failure]``."""
+        """Fire with ``Result[Listing, Failure]``."""
         ...
 
     def read_object(self, kind: Kind, name: str) -> Deferred:
-        """Give ``Result[Versioned, Failure]``; a tombstone if that is known."""
+        """Fire with ``Result[Versioned, Failure]``; may be a tombstone."""
         ...
 
     def write_object(self, body: Body, version: int, operation: str) -> Deferred:
-        """Write if ``version`` still stands (0: none does).
+        """Write if ``version`` is the current version (0: the object is new).
 
-        Gives ``Result[Versioned, Failure]``: a `Conflict` if another write came
-        first, OUTCOME_UNKNOWN if the answer was lost.
+        Fires with ``Result[Versioned, Failure]``: a `Conflict` if another write
+        came first, OUTCOME_UNKNOWN if the answer was lost.
         """
         ...
 
     def delete_object(
         self, kind: Kind, name: str, version: int, operation: str
     ) -> Deferred:
-        """Delete if ``version`` still stands; answers as `write_object` does."""
+        """Delete if ``version`` is the current one; fires as `write_object` does."""
         ...
 
     def watch_objects(
@@ -102,9 +102,9 @@
         on_event: Callable[[WatchEvent], None],
         on_end: Callable[[Failure], None],
     ) -> Watch:
-        """Tell every change after version ``since`` until stopped or ended."""
+        """Report every change after ``since`` until the watch is stopped or ends."""
         ...
 
     def list_vms(self) -> Deferred:
-        """Give ``Result[tuple[Vm, ...], Failure]``."""
+        """Fire with ``Result[tuple[Vm, ...], Failure]``."""
         ...
--- a/kumquatshift/status.py
+++ b/kumquatshift/status.py
@@ -4,7 +4,7 @@
 
 
 class ExitStatus(IntEnum):
-    """What a program tells the shell when it ends."""
+    """The exit status of a program."""
 
     SUCCESS = 0
     ERROR = 1
--- a/kumquatshift/tls.py
+++ b/kumquatshift/tls.py
@@ -1,9 +1,9 @@
-"""TLS between the system's own processes, and to the platform.
+"""TLS between the processes of the system, and to the platform.
 
-Processes prove themselves to each other with certificates of the authority
-that the settings name; without certificates they talk in the clear, which
-settings allow on loopback addresses alone. The files are checked when the
-settings are loaded, see `certificates`.
+Processes authenticate each other with certificates of the CA in the settings;
+without certificates they communicate in clear text, which the settings allow on
+loopback addresses only. The files are checked when the settings are loaded, see
+`certificates`.
 """
 
 from collections.abc import Callable
@@ -28,12 +28,12 @@
 
 
 def server_credentials(section: TlsSection) -> grpc.ServerCredentials | None:
-    """Return what a gRPC server shows and asks for, None for a clear one."""
+    """Return mutual TLS credentials for a gRPC server, None for clear text."""
     if not section.enabled:
         return None
-    pair = (_read(section.key), _read(section.certificate))
+    pair = (_read_file(section.key), _read_file(section.certificate))
     return grpc.ssl_server_credentials(
-        [pair], root_certificates=_read(section.ca), require_client_auth=True
+        [pair], root_certificates=_read_file(section.ca), require_client_auth=True
     )
 
 
@@ -42,21 +42,21 @@
     if not section.enabled:
         return grpc.aio.insecure_channel
     credentials = grpc.ssl_channel_credentials(
-        _read(section.ca), _read(section.key), _read(section.certificate)
+        _read_file(section.ca), _read_file(section.key), _read_file(section.certificate)
     )
     return lambda place: grpc.aio.secure_channel(place, credentials)
 
 
 def admin_context(section: TlsSection) -> CertificateOptions | None:
-    """Return what an admin port shows and asks for, None for a clear one."""
+    """Return the TLS options of an admin port, None for clear text."""
     if not section.enabled:
         return None
-    own = _Own(section)
+    own = _OwnCertificate(section)
     return CertificateOptions(
         privateKey=own.key,
         certificate=own.certificate,
         extraCertChain=own.chain,
-        trustRoot=trustRootFromCertificates(_authorities(section.ca)),
+        trustRoot=trustRootFromCertificates(_load_authorities(section.ca)),
     )
 
 
@@ -69,24 +69,24 @@
 
 
 def platform_agent(reactor, ca: str = "") -> IAgent:
-    """Return an HTTP agent for the platform, trusting ``ca`` alone if given."""
+    """Return an HTTP agent for the platform that trusts only ``ca``, if given."""
     if not ca:
         return Agent(reactor, connectTimeout=CONNECT_TIMEOUT_S)
-    trust = trustRootFromCertificates(_authorities(ca))
+    trust = trustRootFromCertificates(_load_authorities(ca))
     policy = BrowserLikePolicyForHTTPS(trust)
     return Agent(reactor, policy, connectTimeout=CONNECT_TIMEOUT_S)
 
 
 @implementer(IPolicyForHTTPS)
 class _ClientCertificatePolicy:
-    """Shows the own certificate to every server, and trusts one authority."""
+    """Presents the process's certificate to servers, and trusts only its CA."""
 
     def __init__(self, section: TlsSection):
-        self._own = _Own(section)
-        self._trust = trustRootFromCertificates(_authorities(section.ca))
+        self._own = _OwnCertificate(section)
+        self._trust = trustRootFromCertificates(_load_authorities(section.ca))
 
     def creatorForNetloc(self, hostname: bytes, port: int):  # noqa: N802
-        """Return the options of a connection to one server."""
+        """Return the TLS options for a connection to one server."""
         return optionsForClientTLS(
             hostname.decode("ascii"),
             trustRoot=self._trust,
@@ -98,20 +98,20 @@
         )
 
 
-class _Own:
-    """The own certificate, its key and its chain, as pyOpenSSL has them."""
+class _OwnCertificate:
+    """The process's certificate, key and chain as pyOpenSSL objects."""
 
     def __init__(self, section: TlsSection):
-        first, *rest = load_pem_x509_certificates(_read(section.certificate))
-        self.key = crypto.load_privatekey(crypto.FILETYPE_PEM, _read(section.key))
+        first, *rest = load_pem_x509_certificates(_read_file(section.certificate))
+        self.key = crypto.load_privatekey(crypto.FILETYPE_PEM, _read_file(section.key))
         self.certificate = crypto.X509.from_cryptography(first)
         self.chain = [crypto.X509.from_cryptography(each) for each in rest]
 
 
-def _authorities(path: str) -> list[Certificate]:
-    found = load_pem_x509_certificates(_read(path))
+def _load_authorities(path: str) -> list[Certificate]:
+    found = load_pem_x509_certificates(_read_file(path))
     return [Certificate(crypto.X509.from_cryptography(each)) for each in found]
 
 
-def _read(path: str) -> bytes:
+def _read_file(path: str) -> bytes:
     return Path(path).read_bytes()
--- a/tests/features/codec.feature
+++ b/tests/features/codec.feature
@@ -77,10 +77,10 @@
       | service "new" with profile "wep"  | there is no profile of that name; did you mean 'web'? |
       | target "new" of service "till"    | there is no service of that name; did you mean 'tills'? |
       | target "new" in domain "north-e"  | there is no domain of that name; did you mean 'north- |
-      | service "new" at tills' address   | service/new is there already                          |
-      | target "new" at t1's place        | target/new is there already                           |
-      | removal of profile "web"          | profile/web cannot be removed: service/web still name it |
-      | removal of domain "north-d"       | target/r4, target/t4 still name it                    |
+      | service "new" at tills' address   | already used by service/new                           |
+      | target "new" at t1's place        | already used by target/new                            |
+      | removal of profile "web"          | profile/web cannot be removed: referenced by service/web |
+      | removal of domain "north-d"       | referenced by target/r4, target/t4                    |
       | removal of target "t1"            | fits                                                  |
 
   Scenario: A mistake that stood before does not keep others from being mended
--- a/tests/features/ctl.feature
+++ b/tests/features/ctl.feature
@@ -54,7 +54,7 @@
       | target retire t99    | NOT_FOUND | target/t99 does not exist                    |
       | domain out north-e   | NOT_FOUND | see the names with: kumquat-ctl domain list  |
       | profile show gone    | NOT_FOUND | it was removed as version                    |
-      | profile remove web   | REFUSED   | service/web still name it                    |
+      | profile remove web   | REFUSED   | referenced by service/web                    |
       | dump e9              | NOT_FOUND | no entry 'e9' is listed                      |
       | apply no/such/file   | USAGE     | No such file                                 |
 
--- a/tests/features/tls.feature
+++ b/tests/features/tls.feature
@@ -9,7 +9,7 @@
       | all good                           | load                                                     |
       | with an intermediate authority     | load                                                     |
       | the certificate expired            | fail, telling "[tls] certificate: found one that expired" |
-      | the certificate of tomorrow        | fail, telling "[tls] certificate: found one that begins" |
+      | the certificate of tomorrow        | fail, telling "[tls] certificate: found one not valid before" |
       | the authority expired              | fail, telling "[tls] ca: found one that expired"         |
       | the certificate of a stranger's CA | fail, telling "[tls] certificate: found one issued by CN=stranger; allowed: a certificate that one of [tls] ca has issued" |
       | the certificate for another VM     | fail, telling "alternative name IP:127.13.2.1"           |
