--- a/kumquatshift/direct/events.py
+++ b/kumquatshift/direct/events.py
@@ -9,7 +9,7 @@
 from typing import Protocol
 
 
-class Events(Protocol):
+class EventSink(Protocol):
     """Where decisions are told."""
 
     def emit(self, event: Event, **inputs: object) -> None:
--- a/kumquatshift/direct/feed.py
+++ b/kumquatshift/direct/feed.py
@@ -30,11 +30,11 @@
     from collections.abc import Callable
     from typing import Protocol
 
-    from .events import Events
+    from .events import EventSink
     from .members import Members
     from .news import News, Source
 
-    class FeedTarget(Protocol):
+    class FeedListener(Protocol):
         """Who takes in what a feed brings."""
 
         def take_list(
@@ -59,7 +59,7 @@
 # A list is answered within milliseconds; a store that is slow by a factor of
 # a hundred still makes the first time-out.
 FIRST_TIMEOUT_S = 0.8
-LONGEST_TIMEOUT_S = 3.0
+MAX_TIMEOUT_S = 3.0
 TIMEOUT_GROWTH = 1.5
 
 # After a failure: soon enough that a store that is back is used at once, and
@@ -76,10 +76,10 @@
 SELF_READ_S = 0.6
 
 # Two heartbeats of a reader: one may be lost.
-TELLING_S = 1.0
+HEARTBEAT_MARGIN_S = 1.0
 
 # Kept back from the age of news for the store's time to answer a reader.
-READER_GRACE_S = 0.2
+READER_ANSWER_MARGIN_S = 0.2
 
 # What a watch that went silent is made up for in: a retry and a list.
 WATCH_MARGIN_S = 0.4
@@ -89,7 +89,7 @@
 MIN_FRESH_S = 1.5
 
 # Another entry of the domain answers within milliseconds.
-NEWS_TIMEOUT_S = 0.5
+PEER_CALL_TIMEOUT_S = 0.5
 
 # Another entry that has given its link's share to others is asked again after
 # this time, or one that has got the news meanwhile is; with twice as many that
@@ -99,13 +99,13 @@
 
 # A store that has refused an entry is asked again after this time, if others
 # of the domain reach it.
-TRY_AGAIN_S = 10.0
+REFUSAL_TTL_S = 10.0
 
 # What an open watch takes to bring a change: the store's answer and the way.
-DELIVERY_S = 0.1
+WATCH_DELIVERY_S = 0.1
 
 # Changes kept for entries that follow; a lost heartbeat or two is made up.
-HISTORY_CHANGES = 400
+MAX_HISTORY_CHANGES = 400
 
 # What a watch may take beyond the time that it asked for: a store that is slow
 # by a factor of a hundred answers in 0.4 s.
@@ -133,7 +133,9 @@
         just gone silent.
         """
         fresh_s = max(MIN_FRESH_S, shortest_s - SELF_READ_S)
-        reader_watch_s = max(MIN_WATCH_S, fresh_s - TELLING_S - READER_GRACE_S)
+        reader_watch_s = max(
+            MIN_WATCH_S, fresh_s - HEARTBEAT_MARGIN_S - READER_ANSWER_MARGIN_S
+        )
         due_s = max(stable_window_s, shortest_s)
         watch_s = max(MIN_WATCH_S, due_s - WATCH_GRACE_S - WATCH_MARGIN_S)
         return cls(watch_s, reader_watch_s, fresh_s)
@@ -145,54 +147,58 @@
     ``on_news`` is called after the target has taken in something new.
     """
 
-    def __init__(self, kind: str, pace: Pace, target: FeedTarget, events: Events):
+    def __init__(
+        self, kind: str, pace: Pace, listener: FeedListener, events: EventSink
+    ):
         self.kind = kind
         self.is_current = False
         self.confirmed_at = 0.0
         self._pace = pace
-        self._target = target
+        self._listener = listener
         self._events = events
-        self.on_news: Callable[[], None] | None = None
+        self.on_update: Callable[[], None] | None = None
         self._members: Members | None = None
-        self._news: News | None = None
+        self._peers: News | None = None
         self.is_reader = False
         self._is_listed = False
-        self._known: int = -1
+        self._known_revision: int = -1
         self.changed = -1
         self._items: dict[str, Item] = {}
         self._history: list[tuple[int, Change]] = []
         self._history_from = 0
         self._pages: list[Item] = []
         self._first_revision = 0
-        self._not_before = 0.0
+        self._next_call_at = 0.0
         self._timeout_s = FIRST_TIMEOUT_S
         self._lost_at: float | None = None
         self._failed_at = 0.0
         self._is_watching = False
-        self._news_failed_at = -1.0
+        self._peer_failed_at = -1.0
         self._busy_tries = 0
         self._busy_since = 0.0
 
     def follow(self, members: Members, news: News) -> None:
         """Learn from other entries too."""
         self._members = members
-        self._news = news
+        self._peers = news
 
     def reaches_store(self, now: float) -> bool:
         """Tell whether nothing speaks against reading the store from here."""
-        return self._lost_at is None or now - self._failed_at > TRY_AGAIN_S
+        return self._lost_at is None or now - self._failed_at > REFUSAL_TTL_S
 
     def tick(self, now: float) -> Tick | None:
         """Return how far the feed's knowledge goes, or None if it has none."""
-        if self._known < 0:
+        if self._known_revision < 0:
             return None
         age_s = round(now - self.confirmed_at, 3)
         since = self._history_from
-        return Tick(self.kind, self.is_reader, since, self.changed, self._known, age_s)
+        return Tick(
+            self.kind, self.is_reader, since, self.changed, self._known_revision, age_s
+        )
 
     def lacks(self, tick: Tick) -> bool:
         """Tell whether another entry has changes that are not known here."""
-        return tick.changed > self._known
+        return tick.changed > self._known_revision
 
     def known_until(self, now: float) -> float:
         """Return the time up to which every change is known.
@@ -202,35 +208,37 @@
         """
         watched_s = now - self.confirmed_at
         if self._is_watching and watched_s < self._pace.watch_s + WATCH_GRACE_S:
-            return now - DELIVERY_S
+            return now - WATCH_DELIVERY_S
         return self.confirmed_at
 
     def wait_s(self, now: float) -> float:
         """Return how long to wait before the next call."""
-        return max(0.0, self._not_before - now)
+        return max(0.0, self._next_call_at - now)
 
     def next_call(self, now: float) -> ListCall | WatchCall | NewsCall | None:
         """Return the call to make now; None while following brings nothing."""
-        shares = self._members is not None and self._members.shares()
-        self._note_duty(
-            shares and self._members.is_reader(self.kind, self.reaches_store(now))
+        uses_readers = self._members is not None and self._members.uses_readers()
+        self._update_reader_role(
+            uses_readers and self._members.is_reader(self.kind, self.reaches_store(now))
         )
-        if self._news is not None and now - self._news_failed_at > RETRY_S:
-            if self._known < 0 and self._lost_at is not None:
-                source = self._news.best(now)
+        if self._peers is not None and now - self._peer_failed_at > RETRY_S:
+            if self._known_revision < 0 and self._lost_at is not None:
+                source = self._peers.freshest(now)
                 if source is not None:
-                    return self._ask(source, -1)
-            if shares and not self.is_reader and self._known >= 0:
-                source = self._news.newest(self._known, now)
+                    return self._call_peer(source, -1)
+            if uses_readers and not self.is_reader and self._known_revision >= 0:
+                source = self._peers.reader_to_follow(self._known_revision, now)
                 if source is not None:
-                    return self._follow(source, now)
+                    return self._follow_reader(source, now)
         if not self._is_listed:
             after = self._pages[-1].name if self._pages else ""
             return ListCall(self.kind, after, self._timeout_s)
         self._is_watching = True
         pace = self._pace
         watch_s = pace.reader_watch_s if self.is_reader else pace.watch_s
-        return WatchCall(self.kind, self._known, watch_s, watch_s + WATCH_GRACE_S)
+        return WatchCall(
+            self.kind, self._known_revision, watch_s, watch_s + WATCH_GRACE_S
+        )
 
     def take_page(self, page: Page, now: float) -> None:
         """Take in a page; the last one completes the list."""
@@ -242,30 +250,30 @@
             return
         items, self._pages = tuple(self._pages), []
         self._is_listed = True
-        self._take_list(items, self._first_revision, now)
+        self._apply_list(items, self._first_revision, now)
 
     def take_changes(self, changes: Changes, now: float) -> None:
         """Take in what a watch brought."""
         self._is_watching = False
-        self._known = changes.revision
-        self._note_answer(now)
-        self._apply(changes.changes, changes.revision, now)
+        self._known_revision = changes.revision
+        self._note_store_answer(now)
+        self._apply_changes(changes.changes, changes.revision, now)
         if changes.changes:
-            self._not_before = now + BATCH_S
+            self._next_call_at = now + BATCH_S
 
     def take_news(self, news: NewsAnswer, now: float) -> None:
         """Take in what another entry knows."""
         self._busy_tries = 0
-        if news.tick.revision < self._known:
+        if news.tick.revision < self._known_revision:
             return
         if now - self.confirmed_at > self._pace.fresh_s:
             # The readers had lost the store too, and tell now what it lists.
-            self._target.note_loss(now)
+            self._listener.note_loss(now)
         if news.is_whole:
-            self._take_items(news.items, news.tick.changed, now)
+            self._apply_snapshot(news.items, news.tick.changed, now)
         else:
-            self._apply(news.changes, news.tick.changed, now)
-        self._known = news.tick.revision
+            self._apply_changes(news.changes, news.tick.changed, now)
+        self._known_revision = news.tick.revision
         self.changed = max(self.changed, news.tick.changed)
         self.confirmed_at = max(self.confirmed_at, now - news.tick.age_s)
 
@@ -278,11 +286,11 @@
             self.take_news_failure(Failure.OVERLOADED, "busy for long", now)
             return
         self._busy_tries += 1
-        self._not_before = now + BUSY_RETRY_S
+        self._next_call_at = now + BUSY_RETRY_S
 
     def take_news_failure(self, failure: str, detail: str, now: float) -> None:
         """Note that another entry did not answer; the store is read instead."""
-        self._news_failed_at = now
+        self._peer_failed_at = now
         self._events.emit(
             Event.NEWS_FAILED, kind=self.kind, failure=failure, detail=detail
         )
@@ -316,98 +324,104 @@
                 confirmed_s_ago=round(now - self.confirmed_at, 3),
             )
         self.is_current = False
-        self._not_before = now + self._retry_s(failure)
+        self._next_call_at = now + self._retry_delay_s(failure)
         if failure == Failure.TIMEOUT:
-            longer_s = self._timeout_s * TIMEOUT_GROWTH
-            self._timeout_s = min(LONGEST_TIMEOUT_S, longer_s)
+            increased_s = self._timeout_s * TIMEOUT_GROWTH
+            self._timeout_s = min(MAX_TIMEOUT_S, increased_s)
 
-    def _retry_s(self, failure: str) -> float:
-        shares = self._members is not None and self._members.shares()
-        if shares and not self.is_reader:
+    def _retry_delay_s(self, failure: str) -> float:
+        uses_readers = self._members is not None and self._members.uses_readers()
+        if uses_readers and not self.is_reader:
             return RETRY_FOLLOWER_S
         return RETRY_OVERLOADED_S if failure == Failure.OVERLOADED else RETRY_S
 
-    def _note_duty(self, is_reader: bool) -> None:
+    def _update_reader_role(self, is_reader: bool) -> None:
         if is_reader != self.is_reader:
             self.is_reader = is_reader
             event = Event.READER_TAKEN if is_reader else Event.READER_LEFT
             self._events.emit(event, kind=self.kind)
 
-    def _follow(self, source: Source, now: float) -> NewsCall | None:
+    def _follow_reader(self, source: Source, now: float) -> NewsCall | None:
         tick = source.tick
         if self.lacks(tick):
-            holder = self._news.holder(source, self._known, self._busy_tries)
-            return self._ask(holder, self._known)
-        self._known = max(self._known, tick.revision)
+            alternate = self._peers.alternate(
+                source, self._known_revision, self._busy_tries
+            )
+            return self._call_peer(alternate, self._known_revision)
+        self._known_revision = max(self._known_revision, tick.revision)
         self.confirmed_at = max(self.confirmed_at, now - tick.age_s)
         self.is_current = True
         return None
 
-    def _ask(self, source: Source, since: int) -> NewsCall:
-        return NewsCall(self.kind, source.address, since, NEWS_TIMEOUT_S)
+    def _call_peer(self, source: Source, since: int) -> NewsCall:
+        return NewsCall(self.kind, source.address, since, PEER_CALL_TIMEOUT_S)
 
-    def _take_list(self, items: tuple[Item, ...], revision: int, now: float) -> None:
+    def _apply_list(self, items: tuple[Item, ...], revision: int, now: float) -> None:
         after_loss = self._lost_at is not None
-        self._remember_items(items, revision)
-        self._known = revision
-        self._note_answer(now)
-        self._target.take_list(items, after_loss, now)
-        self._tell_news()
-
-    def _take_items(self, items: tuple[Item, ...], changed: int, now: float) -> None:
+        self._replace_items(items, revision)
+        self._known_revision = revision
+        self._note_store_answer(now)
+        self._listener.take_list(items, after_loss, now)
+        self._notify_update()
+
+    def _apply_snapshot(
+        self, items: tuple[Item, ...], changed: int, now: float
+    ) -> None:
         """Take in all that another entry knows."""
-        self._remember_items(items, changed)
-        self._target.take_list(items, self._lost_at is not None, now)
-        self._tell_news()
+        self._replace_items(items, changed)
+        self._listener.take_list(items, self._lost_at is not None, now)
+        self._notify_update()
 
-    def _remember_items(self, items: tuple[Item, ...], revision: int) -> None:
+    def _replace_items(self, items: tuple[Item, ...], revision: int) -> None:
         """Keep a whole list; what it changes is remembered as changes."""
         before = self._items
         self._items = {item.name: item for item in items}
-        if self._known < 0:
+        if self._known_revision < 0:
             self._history_from = self.changed = revision
             return
         for name, item in self._items.items():
             old = before.get(name)
             if old is None or old.revision < item.revision:
-                self._keep(Change(item, False), revision)
+                self._append_history(Change(item, False), revision)
         for name in before.keys() - self._items.keys():
-            self._keep(Change(before[name], True), revision)
+            self._append_history(Change(before[name], True), revision)
 
-    def _apply(self, changes: tuple[Change, ...], revision: int, now: float) -> None:
-        brought_news = False
+    def _apply_changes(
+        self, changes: tuple[Change, ...], revision: int, now: float
+    ) -> None:
+        has_newer = False
         for change in changes:
-            if self._is_news(change.item):
-                brought_news = True
-                self._remember(change, revision)
-                self._target.take_change(change, now)
-        if brought_news:
-            self._tell_news()
-
-    def _tell_news(self) -> None:
-        if self.on_news is not None:
-            self.on_news()
-
-    def _is_news(self, item: Item) -> bool:
+            if self._is_newer(change.item):
+                has_newer = True
+                self._record_change(change, revision)
+                self._listener.take_change(change, now)
+        if has_newer:
+            self._notify_update()
+
+    def _notify_update(self) -> None:
+        if self.on_update is not None:
+            self.on_update()
+
+    def _is_newer(self, item: Item) -> bool:
         """Pass over changes that were known already, such as from a later page."""
         known = self._items.get(item.name)
         return known is None or item.revision >= known.revision
 
-    def _remember(self, change: Change, revision: int) -> None:
+    def _record_change(self, change: Change, revision: int) -> None:
         if change.is_deleted:
             self._items.pop(change.item.name, None)
         else:
             self._items[change.item.name] = change.item
-        self._keep(change, revision)
+        self._append_history(change, revision)
 
-    def _keep(self, change: Change, revision: int) -> None:
+    def _append_history(self, change: Change, revision: int) -> None:
         """Keep a change for entries that follow."""
         self.changed = revision
         self._history.append((revision, change))
-        if len(self._history) > HISTORY_CHANGES:
+        if len(self._history) > MAX_HISTORY_CHANGES:
             self._history_from, _ = self._history.pop(0)
 
-    def _note_answer(self, now: float) -> None:
+    def _note_store_answer(self, now: float) -> None:
         if self._lost_at is not None:
             self._events.emit(
                 Event.STORE_REGAINED,
--- a/kumquatshift/direct/flows.py
+++ b/kumquatshift/direct/flows.py
@@ -27,17 +27,17 @@
     """
 
     __slots__ = (
-        "acked",
-        "asked_at",
-        "complained",
+        "last_ack",
+        "request_sent_at",
+        "is_stalled",
         "is_closing",
         "is_open",
         "repeats",
         "seen_at",
         "sent_at",
-        "stuck_since",
+        "stalled_since",
         "target",
-        "top",
+        "highest_sent",
         "waiting",
     )
 
@@ -45,13 +45,13 @@
         self.target = target
         self.is_open = False
         self.is_closing = False
-        self.acked = -1
-        self.asked_at = now
-        self.top = -1
+        self.last_ack = -1
+        self.request_sent_at = now
+        self.highest_sent = -1
         self.repeats = 0
-        self.complained = False
+        self.is_stalled = False
         self.waiting = False
-        self.stuck_since = now
+        self.stalled_since = now
         self.seen_at = now
         self.sent_at = now
 
@@ -71,7 +71,7 @@
         """Return what is known of a flow, or None."""
         return self._flows.get(key)
 
-    def at(self, targets: set[LiveTarget]) -> list[tuple[bytes, Flow]]:
+    def of_targets(self, targets: set[LiveTarget]) -> list[tuple[bytes, Flow]]:
         """Return the flows at any of these targets, with their keys."""
         return [(k, flow) for k, flow in self._flows.items() if flow.target in targets]
 
@@ -86,7 +86,7 @@
 
     def move(self, flow: Flow, target: LiveTarget) -> None:
         """Note that a flow is at another target."""
-        self._settle(flow)
+        self._release_load(flow)
         flow.target = target
         target.flows += 1
 
@@ -94,19 +94,19 @@
         """Forget a flow."""
         flow = self._flows.pop(key, None)
         if flow is not None:
-            self._settle(flow)
+            self._release_load(flow)
 
     def expire(self, now: float, idle_s: float) -> None:
         """Forget flows that have been idle for ``idle_s``, or have closed."""
-        over = []
+        expired = []
         for key, flow in self._flows.items():
             limit_s = CLOSING_S if flow.is_closing else idle_s
             if now - flow.seen_at > limit_s:
-                over.append(key)
-        for key in over:
+                expired.append(key)
+        for key in expired:
             self.remove(key)
 
-    def _settle(self, flow: Flow) -> None:
+    def _release_load(self, flow: Flow) -> None:
         flow.target.flows -= 1
         if flow.waiting:
             flow.target.waiting -= 1
--- a/kumquatshift/direct/news.py
+++ b/kumquatshift/direct/news.py
@@ -41,7 +41,7 @@
         self._fresh_s = fresh_s
         self._members = members
 
-    def best(self, now: float) -> Source | None:
+    def freshest(self, now: float) -> Source | None:
         """Return the entry with the youngest knowledge, however old it is."""
         found = None
         for address, tick, at in self._ticks():
@@ -50,7 +50,7 @@
                 found = Source(address, aged)
         return found
 
-    def newest(self, known: int, now: float) -> Source | None:
+    def reader_to_follow(self, known: int, now: float) -> Source | None:
         """Return the fresh reader to follow, for an entry that knows ``known``.
 
         Readers that can tell the changes since then one by one come first: all
@@ -67,7 +67,7 @@
                 found = rank, Source(address, tick._replace(age_s=age_s))
         return found[1] if found is not None else None
 
-    def holder(self, source: Source, known: int, tries: int) -> Source:
+    def alternate(self, source: Source, known: int, tries: int) -> Source:
         """Return an entry to ask for what ``source`` has.
 
         Readers are the first to have it, and any other entry that has it will
--- a/kumquatshift/direct/packets.py
+++ b/kumquatshift/direct/packets.py
@@ -17,7 +17,7 @@
     """
 
     flow: bytes
-    place: bytes
+    destination: bytes
     is_syn: bool
     is_last: bool
     has_ack: bool
--- a/kumquatshift/direct/placement.py
+++ b/kumquatshift/direct/placement.py
@@ -12,7 +12,7 @@
 from collections.abc import Iterable
 
 from .routes import ServiceLimits
-from .suspicion import PROBE_EVERY_S, may_probe
+from .suspicion import PROBE_INTERVAL_S, may_probe
 from .targets import LiveTarget, TargetTable
 from .warmup import Warmup
 
@@ -22,14 +22,14 @@
 
 # A target that has left the list without draining, and still answers, is used
 # on for a while: leases lapse when the platform, not the target, is in trouble.
-ANSWERED_LATELY_S = 1.0
+RECENT_ANSWER_S = 1.0
 
 # What a flow to another domain must save to be worth its way: so many flows a
 # slot. Callers of long flows rest most of the time.
-OTHER_DOMAIN_FLOWS = 40.0
+OTHER_DOMAIN_PENALTY_FLOWS = 40.0
 
 # So many targets are compared for a new flow, in a domain that has more.
-COMPARED_TARGETS = 32
+MAX_COMPARED_TARGETS = 32
 
 # A request in progress is present load, an open flow only likely load.
 WAITING_WEIGHT = 2.0
@@ -49,8 +49,8 @@
         self, targets: TargetTable, service: str, limits: ServiceLimits, now: float
     ) -> LiveTarget | None:
         """Return the target for a new flow, or None if none can take it."""
-        near = targets.of_domain(service, self._domain)
-        chosen = self._pick_near(near, limits, now)
+        local = targets.of_domain(service, self._domain)
+        chosen = self._pick_local(local, limits, now)
         if chosen is None:
             chosen = self._pick_any(targets.of_service(service), limits, now)
         if chosen is None:
@@ -58,37 +58,37 @@
         if chosen.is_cold(now):
             self._warmup.note_flow(chosen, limits.cold_flows_per_s, now)
         if chosen.suspected:
-            chosen.next_probe = now + PROBE_EVERY_S
+            chosen.next_probe_at = now + PROBE_INTERVAL_S
         self._picks += 1
         chosen.last_picked = self._picks
         return chosen
 
-    def _pick_near(
-        self, near: tuple[LiveTarget, ...], limits: ServiceLimits, now: float
+    def _pick_local(
+        self, local: tuple[LiveTarget, ...], limits: ServiceLimits, now: float
     ) -> LiveTarget | None:
         """Return the best target of the own domain, unless another may be better.
 
         Of many only some are compared, in turn: the least loaded of a few dozen
         is about as good as the least loaded of all.
         """
-        if len(near) > COMPARED_TARGETS:
-            start = self._picks * COMPARED_TARGETS % len(near)
-            near = near[start : start + COMPARED_TARGETS]
-        able = self._able(near, limits, now)
-        usable = [t for t in able if self._is_usable(t, limits, now)]
+        if len(local) > MAX_COMPARED_TARGETS:
+            start = self._picks * MAX_COMPARED_TARGETS % len(local)
+            local = local[start : start + MAX_COMPARED_TARGETS]
+        eligible = self._eligible(local, limits, now)
+        usable = [t for t in eligible if self._is_usable(t, limits, now)]
         if not usable:
             return None
         chosen = min(usable, key=self._cost)
         load, _ = self._cost(chosen)
-        return chosen if load < OTHER_DOMAIN_FLOWS else None
+        return chosen if load < OTHER_DOMAIN_PENALTY_FLOWS else None
 
     def _pick_any(
         self, targets: Iterable[LiveTarget], limits: ServiceLimits, now: float
     ) -> LiveTarget | None:
-        able = self._able(targets, limits, now)
-        usable = [t for t in able if self._is_usable(t, limits, now)]
+        eligible = self._eligible(targets, limits, now)
+        usable = [t for t in eligible if self._is_usable(t, limits, now)]
         # That all are suspected may be our own trouble: one of them is tried.
-        usable = usable or [target for target in able if target.suspected]
+        usable = usable or [target for target in eligible if target.suspected]
         return min(usable, key=self._cost, default=None)
 
     def is_present(self, target: LiveTarget, now: float) -> bool:
@@ -99,7 +99,7 @@
             return False
         if self.is_relisting(now):
             return not target.suspected
-        return now - target.progress_at < ANSWERED_LATELY_S
+        return now - target.progress_at < RECENT_ANSWER_S
 
     def is_gone(self, target: LiveTarget, now: float) -> bool:
         """Tell whether a target has ended, so that its open flows are lost.
@@ -115,16 +115,16 @@
         """Tell whether the list was out of reach until a moment ago."""
         return now - self.relisting_since < RELIST_GRACE_S
 
-    def _able(
+    def _eligible(
         self, targets: Iterable[LiveTarget], limits: ServiceLimits, now: float
     ) -> list[LiveTarget]:
         return [
             target
             for target in targets
-            if target.flows < limits.max_flows and self._is_able(target, now)
+            if target.flows < limits.max_flows and self._is_eligible(target, now)
         ]
 
-    def _is_able(self, target: LiveTarget, now: float) -> bool:
+    def _is_eligible(self, target: LiveTarget, now: float) -> bool:
         if target.draining or target.domain in self.evacuated:
             return False
         return self.is_present(target, now)
@@ -139,5 +139,5 @@
     def _cost(self, target: LiveTarget):
         load = (target.flows + WAITING_WEIGHT * target.waiting) / target.slots
         if target.domain != self._domain:
-            load += OTHER_DOMAIN_FLOWS
+            load += OTHER_DOMAIN_PENALTY_FLOWS
         return load, target.last_picked
--- a/kumquatshift/direct/routes.py
+++ b/kumquatshift/direct/routes.py
@@ -21,7 +21,7 @@
     """
 
     name: str
-    place: bytes
+    destination: bytes
     shares: tuple[Share, ...]
     priority: int = 0
 
@@ -68,13 +68,13 @@
             return False
         self.version = cfg.version
         self.idle_timeout_s = cfg.idle_timeout_s
-        self._routes = {route.place: route for route in cfg.routes}
+        self._routes = {route.destination: route for route in cfg.routes}
         self._limits = {limits.service: limits for limits in cfg.limits}
         return True
 
-    def get(self, place: bytes) -> Route | None:
+    def get(self, destination: bytes) -> Route | None:
         """Return the route of an address and port, or None."""
-        return self._routes.get(place)
+        return self._routes.get(destination)
 
     def limits(self, service: str) -> ServiceLimits:
         """Return what targets of a service bear, as far as it was told."""
--- a/kumquatshift/direct/settings.py
+++ b/kumquatshift/direct/settings.py
@@ -78,7 +78,7 @@
             metrics_port=reader.read("entry", "metrics_port", _port),
             peers=reader.read("entry", "peer_address", _address),
             seeds=reader.read("entry", "seeds", _addresses),
-            link_bytes_per_s=reader.read("entry", "link_mbps", _link),
+            link_bytes_per_s=reader.read("entry", "link_mbps", _link_rate),
             store=reader.read("store", "address", _address),
             bounds=Bounds(
                 stable_window_s=reader.read("bounds", "stable_window_ms", _seconds),
@@ -137,7 +137,7 @@
     return _number(text) / 1000
 
 
-def _link(text: str) -> float:
+def _link_rate(text: str) -> float:
     """Read megabits a second as bytes a second."""
     number = _number(text)
     if not number:
--- a/kumquatshift/direct/site.py
+++ b/kumquatshift/direct/site.py
@@ -15,13 +15,13 @@
 from .targets import LiveTarget, Report, TargetTable
 
 if TYPE_CHECKING:
-    from .events import Events
+    from .events import EventSink
 
 
 class Site:
     """The state that decisions about flows go by."""
 
-    def __init__(self, placement: Placement, events: Events):
+    def __init__(self, placement: Placement, events: EventSink):
         self.routes = RouteTable()
         self.targets = TargetTable()
         self.placement = placement
@@ -55,7 +55,7 @@
             names.add(report.name)
             self.put_target(report, now)
         for target in self.targets.retain(names, now):
-            self._tell_gone(target, now)
+            self._log_gone(target, now)
 
     def put_target(self, report: Report, now: float) -> None:
         """Take in what one target says of itself."""
@@ -80,7 +80,7 @@
         """Take a target off the list."""
         target = self.targets.remove(name, now)
         if target is not None:
-            self._tell_gone(target, now)
+            self._log_gone(target, now)
 
     def list_evacuations(self, domains: Iterable[str]) -> None:
         """Take in the whole list of domains that get nothing new."""
@@ -96,7 +96,7 @@
         """Send nothing new to a domain."""
         self.list_evacuations(self.placement.evacuated | {domain})
 
-    def take_back(self, domain: str) -> None:
+    def restore_domain(self, domain: str) -> None:
         """Use a domain again."""
         self.list_evacuations(self.placement.evacuated - {domain})
 
@@ -107,7 +107,7 @@
         """
         self.placement.relisting_since = now
 
-    def _tell_gone(self, target: LiveTarget, now: float) -> None:
+    def _log_gone(self, target: LiveTarget, now: float) -> None:
         self._events.emit(
             Event.TARGET_GONE,
             target=target.name,
--- a/kumquatshift/direct/steering.py
+++ b/kumquatshift/direct/steering.py
@@ -20,26 +20,26 @@
 from .targets import LiveTarget, TargetTable
 
 if TYPE_CHECKING:
-    from .events import Events
+    from .events import EventSink
 
 # Times kept until they are next asked for: a minute's worth under load.
-KEPT_TIMES = 10_000
+MAX_LATENCY_SAMPLES = 10_000
 
 SEQUENCE_MASK = 0xFFFFFFFF
 HALF_SEQUENCE = 1 << 31
 
 # A copy of an opening packet is placed elsewhere from the second on (600 ms):
 # one lost packet is common, two in a row are not.
-REPLACING_COPY = 2
+MIN_REPLACING_COPY = 2
 
 # A flow seen within this time stays where it is, whatever cookie its packets
 # carry: after a late second answer to an opening packet they name the wrong one.
-STICKS_FOR_S = 2.0
+STICKY_FLOW_S = 2.0
 
 # Flows with a cookie that names no known target, until their callers give up;
 # as many as a zone's callers may hold after all its targets were replaced.
-MAX_STRANGERS = 4096
-FORGET_STRANGER_S = 10.0
+MAX_UNKNOWN_FLOWS = 4096
+UNKNOWN_FLOW_TTL_S = 10.0
 
 
 class Steering:
@@ -50,13 +50,13 @@
         routes: RouteTable,
         targets: TargetTable,
         placement: Placement,
-        events: Events,
+        events: EventSink,
     ):
         self.flows = FlowTable()
-        self.knows_all_routes = _no
-        self.targets_known_until = _never
-        self.answer_times: deque[float] = deque(maxlen=KEPT_TIMES)
-        self._strangers: dict[bytes, float] = {}
+        self.knows_all_routes = _always_false
+        self.targets_known_until = _minus_infinity
+        self.answer_latencies: deque[float] = deque(maxlen=MAX_LATENCY_SAMPLES)
+        self._unknown_flows: dict[bytes, float] = {}
         self._routes = routes
         self._targets = targets
         self._placement = placement
@@ -65,14 +65,14 @@
 
     def decide(self, packet: Packet, now: float) -> Decision:
         """Return what is to be done with a packet."""
-        route = self._routes.get(packet.place)
+        route = self._routes.get(packet.destination)
         if route is None:
             return self._without_route(packet, now)
         if packet.is_syn:
             if packet.has_ack:
                 return Drop(Reason.FORGED)
-            return self._opening(packet, route, now)
-        return self._later(packet, now)
+            return self._handle_opening(packet, route, now)
+        return self._handle_established(packet, now)
 
     def lost_flows(self, now: float) -> list[LostFlow]:
         """Give up the open flows of targets that have ended; return them.
@@ -81,24 +81,24 @@
         it at once, and loses nothing; one that sends it first can not send a
         request that is not idempotent again.
         """
-        doubtful = self.suspicion.suspected() | self._targets.gone()
-        ended = {t for t in doubtful if t.flows and self._ended(t, now)}
+        candidates = self.suspicion.suspected() | self._targets.gone()
+        ended = {t for t in candidates if t.flows and self._ended(t, now)}
         if not ended:
             return []
         lost = []
-        for key, flow in self.flows.at(ended):
+        for key, flow in self.flows.of_targets(ended):
             self.flows.remove(key)
-            if flow.is_open and not flow.is_closing and flow.acked >= 0:
-                lost.append(LostFlow(key, flow.acked))
-                self._tell_reset(key, flow, self._end_of(flow.target), now)
+            if flow.is_open and not flow.is_closing and flow.last_ack >= 0:
+                lost.append(LostFlow(key, flow.last_ack))
+                self._log_reset(key, flow, self._end_reason(flow.target), now)
         return lost
 
     def expire(self, now: float) -> None:
         """Forget what is over; to be called about once a second."""
         self.flows.expire(now, self._routes.idle_timeout_s)
-        for key, first in list(self._strangers.items()):
-            if now - first > FORGET_STRANGER_S:
-                del self._strangers[key]
+        for key, first in list(self._unknown_flows.items()):
+            if now - first > UNKNOWN_FLOW_TTL_S:
+                del self._unknown_flows[key]
         self._targets.forget(now)
         self.suspicion.forget(now)
 
@@ -110,7 +110,7 @@
 
     # Opening packets
 
-    def _opening(self, packet: Packet, route: Route, now: float) -> Decision:
+    def _handle_opening(self, packet: Packet, route: Route, now: float) -> Decision:
         flow = self.flows.get(packet.flow)
         if flow is None:
             return self._open(packet, route, now)
@@ -119,7 +119,7 @@
             self.flows.remove(packet.flow)
             return self._open(packet, route, now)
         if packet.copy and not flow.is_open:
-            return self._open_again(packet, route, flow, now)
+            return self._reopen(packet, route, flow, now)
         flow.sent_at = flow.seen_at = now
         return Forward(flow.target)
 
@@ -140,13 +140,11 @@
         )
         return Forward(target)
 
-    def _open_again(
-        self, packet: Packet, route: Route, flow: Flow, now: float
-    ) -> Decision:
+    def _reopen(self, packet: Packet, route: Route, flow: Flow, now: float) -> Decision:
         self.suspicion.note_repeat(flow, now)
         flow.sent_at = flow.seen_at = now
-        self.suspicion.note_try(flow.target, now)
-        if packet.copy < REPLACING_COPY and not flow.target.suspected:
+        self.suspicion.note_probe(flow.target, now)
+        if packet.copy < MIN_REPLACING_COPY and not flow.target.suspected:
             return Forward(flow.target)
         target = self._pick(packet, route, now)
         if target is None:
@@ -162,7 +160,7 @@
             )
             self.flows.move(flow, target)
             flow.repeats = 0
-            flow.complained = False
+            flow.is_stalled = False
         return Forward(target)
 
     def _pick(self, packet: Packet, route: Route, now: float) -> LiveTarget | None:
@@ -172,10 +170,10 @@
 
     # Packets of open flows
 
-    def _later(self, packet: Packet, now: float) -> Decision:
+    def _handle_established(self, packet: Packet, now: float) -> Decision:
         flow = self.flows.get(packet.flow)
-        if flow is None or not self._sticks(flow, packet, now):
-            target = self._targets.by_cookie(packet.place, packet.cookie)
+        if flow is None or not self._is_sticky(flow, packet, now):
+            target = self._targets.by_cookie(packet.destination, packet.cookie)
             if target is None:
                 return self._unknown_cookie(packet, now)
             if flow is None:
@@ -185,20 +183,20 @@
                 self.flows.move(flow, target)
         self._note_packet(flow, packet, now)
         if packet.size and self._ended(flow.target, now):
-            reason = self._end_of(flow.target)
-            self._tell_reset(packet.flow, flow, reason, now)
+            reason = self._end_reason(flow.target)
+            self._log_reset(packet.flow, flow, reason, now)
             self.flows.remove(packet.flow)
             return Reset(reason)
         if packet.size:
-            self.suspicion.note_try(flow.target, now)
+            self.suspicion.note_probe(flow.target, now)
         flow.sent_at = flow.seen_at = now
         flow.is_closing = flow.is_closing or packet.is_last
         return Forward(flow.target)
 
-    def _sticks(self, flow: Flow, packet: Packet, now: float) -> bool:
-        if packet.cookie == flow.target.cookie(packet.place):
+    def _is_sticky(self, flow: Flow, packet: Packet, now: float) -> bool:
+        if packet.cookie == flow.target.cookie(packet.destination):
             return True
-        return flow.is_open and now - flow.seen_at < STICKS_FOR_S
+        return flow.is_open and now - flow.seen_at < STICKY_FLOW_S
 
     def _unknown_cookie(self, packet: Packet, now: float) -> Decision:
         """Reset a flow whose target is not on the list.
@@ -208,16 +206,16 @@
         """
         if not packet.size:
             return Drop(Reason.UNKNOWN_COOKIE)
-        first = self._strangers.get(packet.flow)
+        first = self._unknown_flows.get(packet.flow)
         if first is None:
-            if len(self._strangers) < MAX_STRANGERS:
-                self._strangers[packet.flow] = now
+            if len(self._unknown_flows) < MAX_UNKNOWN_FLOWS:
+                self._unknown_flows[packet.flow] = now
             return Drop(Reason.UNKNOWN_COOKIE)
         is_repeat = now - first >= MIN_REPEAT_GAP_S
         is_settled = first < self.targets_known_until(now)
         if not is_repeat or not is_settled or self._placement.is_relisting(now):
             return Drop(Reason.UNKNOWN_COOKIE)
-        del self._strangers[packet.flow]
+        del self._unknown_flows[packet.flow]
         self._events.emit(
             Event.FLOW_RESET,
             flow=packet.flow,
@@ -232,26 +230,26 @@
         # A close says nothing of the target, even as the first packet seen here.
         first = not flow.is_open and not packet.is_last
         flow.is_open = True
-        known = flow.acked >= 0
-        moved = known and _is_after(packet.ack, flow.acked)
+        known = flow.last_ack >= 0
+        moved = known and _is_after(packet.ack, flow.last_ack)
         if first or moved or (known and not packet.size and not packet.is_last):
-            self.suspicion.note_progress(flow, now)
+            self.suspicion.note_answer(flow, now)
             if first or (moved and flow.waiting):
-                self.suspicion.note_delivery(flow.asked_at)
+                self.suspicion.note_delivery(flow.request_sent_at)
             if flow.waiting:
                 flow.waiting = False
                 flow.target.waiting -= 1
-                self.answer_times.append(now - flow.asked_at)
+                self.answer_latencies.append(now - flow.request_sent_at)
         if moved or not known:
-            flow.acked = packet.ack
+            flow.last_ack = packet.ack
         if not packet.size:
             return
         end = (packet.seq + packet.size) & SEQUENCE_MASK
-        if flow.top < 0 or _is_after(end, flow.top):
-            flow.top = end
+        if flow.highest_sent < 0 or _is_after(end, flow.highest_sent):
+            flow.highest_sent = end
             if not flow.waiting:
                 flow.waiting = True
-                flow.asked_at = now
+                flow.request_sent_at = now
                 flow.target.waiting += 1
         elif not moved:
             self.suspicion.note_repeat(flow, now)
@@ -261,10 +259,10 @@
             return True
         return self.suspicion.is_dead(target, now)
 
-    def _end_of(self, target: LiveTarget) -> Reason:
+    def _end_reason(self, target: LiveTarget) -> Reason:
         return Reason.TARGET_SILENT if target.listed else Reason.TARGET_GONE
 
-    def _tell_reset(self, key: bytes, flow: Flow, reason: Reason, now: float) -> None:
+    def _log_reset(self, key: bytes, flow: Flow, reason: Reason, now: float) -> None:
         target = flow.target
         self._events.emit(
             Event.FLOW_RESET,
@@ -277,12 +275,12 @@
         )
 
 
-def _no(now: float) -> bool:
+def _always_false(now: float) -> bool:
     """Stand in until the feeds are there."""
     return False
 
 
-def _never(now: float) -> float:
+def _minus_infinity(now: float) -> float:
     """Stand in until the feeds are there."""
     return float("-inf")
 
--- a/kumquatshift/direct/targets.py
+++ b/kumquatshift/direct/targets.py
@@ -10,7 +10,7 @@
 # Targets that have left the list keep their cookies this long, so that their
 # open flows can still be told: flows may live for a minute, and stay idle
 # for some more.
-REMEMBER_GONE_S = 90.0
+GONE_TARGET_TTL_S = 90.0
 
 
 class Report(NamedTuple):
@@ -56,15 +56,15 @@
         "listed",
         "name",
         "next_cold_flow",
-        "next_probe",
-        "others_complaints",
+        "next_probe_at",
+        "peer_complaints",
         "progress_at",
         "service",
         "silent_since",
         "slots",
         "suspected",
         "suspected_at",
-        "tried_at",
+        "probe_sent_at",
         "unlisted_at",
         "waiting",
     )
@@ -77,15 +77,15 @@
         self.flows = 0
         self.waiting = 0
         self.complaints = 0
-        self.others_complaints: dict[str, int] = {}
+        self.peer_complaints: dict[str, int] = {}
         self.progress_at = now
         self.silent_since = now
         self.suspected = False
         self.suspected_at = now
-        self.tried_at = now
+        self.probe_sent_at = now
         self.last_picked = 0
         self.next_cold_flow = now
-        self.next_probe = now
+        self.next_probe_at = now
         self.cold_until = now
         self.update(report, now)
 
@@ -100,18 +100,18 @@
         self.listed = True
         self.unlisted_at = now
 
-    def cookie(self, place: bytes) -> int:
+    def cookie(self, destination: bytes) -> int:
         """Return the cookie of this target's flows to ``place``; never 0.
 
         All entries work out the same cookie. A new start under an old name gets
         another one, and so do flows to another place: a cookie names a target
         only for the place for which an entry once chose it.
         """
-        cookie = self.cookies.get(place)
+        cookie = self.cookies.get(destination)
         if cookie is None:
             text = f"{self.name}/{self.incarnation}/".encode()
-            cookie = xxhash.xxh32_intdigest(text + place) or 1
-            self.cookies[place] = cookie
+            cookie = xxhash.xxh32_intdigest(text + destination) or 1
+            self.cookies[destination] = cookie
         return cookie
 
     def is_cold(self, now: float) -> bool:
@@ -145,12 +145,12 @@
         """Return the listed target of this name, or None."""
         return self._listed.get(name)
 
-    def by_cookie(self, place: bytes, cookie: int) -> LiveTarget | None:
+    def by_cookie(self, destination: bytes, cookie: int) -> LiveTarget | None:
         """Return the target that a cookie names at a place, listed or remembered."""
-        targets = self._by_cookie.get(place)
+        targets = self._by_cookie.get(destination)
         if targets is None:
-            targets = {t.cookie(place): t for t in self._remembered.values()}
-            self._by_cookie[place] = targets
+            targets = {t.cookie(destination): t for t in self._remembered.values()}
+            self._by_cookie[destination] = targets
         return targets.get(cookie)
 
     def of_service(self, service: str) -> tuple[LiveTarget, ...]:
@@ -173,8 +173,8 @@
             known.update(report, now)
         else:
             known = self._remembered[start] = LiveTarget(report, now)
-            for place, targets in self._by_cookie.items():
-                targets[known.cookie(place)] = known
+            for destination, targets in self._by_cookie.items():
+                targets[known.cookie(destination)] = known
         earlier = self._listed.get(known.name)
         if earlier is not None and earlier is not known:
             self._unlist(earlier, now)
@@ -198,7 +198,7 @@
     def forget(self, now: float) -> None:
         """Drop the cookies of targets that have been gone for long."""
         for start, target in list(self._remembered.items()):
-            if not target.listed and now - target.unlisted_at > REMEMBER_GONE_S:
+            if not target.listed and now - target.unlisted_at > GONE_TARGET_TTL_S:
                 del self._remembered[start]
                 self._gone.discard(target)
                 self._by_cookie.clear()
@@ -217,5 +217,5 @@
             services.setdefault(target.service, []).append(target)
             domains.setdefault((target.service, target.domain), []).append(target)
         self._by_service = {name: tuple(each) for name, each in services.items()}
-        self._by_domain = {place: tuple(each) for place, each in domains.items()}
+        self._by_domain = {pair: tuple(each) for pair, each in domains.items()}
         self._services_stale = False
--- a/kumquatshift/direct/warmup.py
+++ b/kumquatshift/direct/warmup.py
@@ -22,7 +22,7 @@
 UNSETTLED_ENTRIES = 3
 
 # An entry that may not use cold targets at all asks again after this time.
-NEVER_S = 3600.0
+UNUSABLE_RETRY_S = 3600.0
 
 
 class WarmupBounds(NamedTuple):
@@ -53,18 +53,18 @@
         """Tell whether a cold target may get a flow from this entry now."""
         if target.domain != self._domain or now < target.next_cold_flow:
             return False
-        return self._part(flows_per_s) > 0
+        return self._quota(flows_per_s) > 0
 
     def note_flow(self, target: LiveTarget, flows_per_s: float, now: float) -> None:
         """Note a new flow at a cold target that bears ``flows_per_s``."""
-        part = self._part(flows_per_s)
-        gap_s = SPACING_FACTOR / part if part else NEVER_S
+        quota = self._quota(flows_per_s)
+        gap_s = SPACING_FACTOR / quota if quota else UNUSABLE_RETRY_S
         target.next_cold_flow = now + gap_s
 
-    def _part(self, flows_per_s: float) -> int:
+    def _quota(self, flows_per_s: float) -> int:
         """Return how many flows this entry may send in any second."""
-        bears = int(flows_per_s * self._bounds.burst_factor + self._bounds.slack)
-        part = bears // self.entries
-        if part == 0 and self.rank < bears:
+        capacity = int(flows_per_s * self._bounds.burst_factor + self._bounds.slack)
+        quota = capacity // self.entries
+        if quota == 0 and self.rank < capacity:
             return 1
-        return part
+        return quota
--- a/kumquatshift/platform/entry.py
+++ b/kumquatshift/platform/entry.py
@@ -31,24 +31,24 @@
     from ..adapters.neighbours import Neighbours
 
 # What came while the process started is forwarded first.
-MEETING_S = 0.2
+PEERING_DELAY_S = 0.2
 
 # An entry that the store does not answer needs the others.
-LATEST_MEETING_S = 1.0
+PEERING_DEADLINE_S = 1.0
 
 READY_PATH = b"/api/ready"
 METRICS_PATH = b"/metrics"
 DUMP_PATH = b"/dump"
 
 # Delays of the loop kept until they are next asked for, one a second.
-KEPT_DELAYS = 600
+MAX_DELAY_SAMPLES = 600
 
-SWEEP_S = 1.0
+SWEEP_INTERVAL_S = 1.0
 
 # How often targets that have ended are looked for: callers of resting flows
 # send their next request within a second or so.
-LOST_FLOWS_S = 0.1
-STOP_CHECK_S = 0.1
+LOST_FLOWS_INTERVAL_S = 0.1
+STOP_CHECK_INTERVAL_S = 0.1
 
 
 class Entry:
@@ -63,10 +63,10 @@
     ):
         self._settings = settings
         self._settings_path = settings_path
-        self._settings_stamp = _stamp(settings_path)
+        self._settings_version = _file_version(settings_path)
         self._reactor = reactor
         self._log = EventLog(reactor, settings.name, flow_text)
-        reactor.on_error = self._tell_error
+        reactor.on_error = self._log_error
         bounds = settings.bounds
         warmup = Warmup(bounds.warmup, settings.domain)
         placement = Placement(settings.domain, warmup)
@@ -77,21 +77,23 @@
         self._lifecycle = Lifecycle(bounds.stop_s)
         self._was_ready = False
         self._metrics: EntryMetrics | None = None
-        self._loop_delays: deque[float] = deque(maxlen=KEPT_DELAYS)
-        self._sweep_due = reactor.seconds() + SWEEP_S
+        self._loop_delays: deque[float] = deque(maxlen=MAX_DELAY_SAMPLES)
+        self._sweep_due = reactor.seconds() + SWEEP_INTERVAL_S
         self._readers: dict[str, StoreReader] = {}
         self._feeds: dict[str, Feed] = {}
         self._warmup = warmup
-        self._neighbours: Neighbours | None = None
+        self._peering: Neighbours | None = None
         self._port = PacketPort(reactor, sock, self._steering, self._log)
-        self._takes_packets = False
+        self._accepts_packets = False
 
     def start(self) -> None:
         """Open all ports and begin to read the store."""
         pages = {
             READY_PATH: self._ready_page,
-            METRICS_PATH: lambda query: PageAnswer(200, self._own().metrics_page()),
-            DUMP_PATH: lambda query: PageAnswer(200, self._own().dump_page()),
+            METRICS_PATH: lambda query: PageAnswer(
+                200, self._load_metrics().metrics_page()
+            ),
+            DUMP_PATH: lambda query: PageAnswer(200, self._load_metrics().dump_page()),
         }
         PageServer(self._reactor, self._settings.readiness, pages)
         host, _ = self._settings.readiness
@@ -102,12 +104,12 @@
             port = self._settings.metrics_port
             self._log.emit(Event.METRICS_PORT_TAKEN, port=port, error=str(exc))
         self._read_store()
-        self._reactor.callLater(LATEST_MEETING_S, self._meet)
+        self._reactor.callLater(PEERING_DEADLINE_S, self._start_peering)
         self._reactor.on_signal(signal.SIGTERM, self._stop)
         self._reactor.on_signal(signal.SIGINT, self._stop)
         self._reactor.on_signal(signal.SIGHUP, self._reload)
-        self._reactor.callLater(SWEEP_S, self._sweep)
-        self._reactor.callLater(LOST_FLOWS_S, self._end_lost_flows)
+        self._reactor.callLater(SWEEP_INTERVAL_S, self._sweep)
+        self._reactor.callLater(LOST_FLOWS_INTERVAL_S, self._end_lost_flows)
         self._log.emit(Event.STARTED, domain=self._settings.domain)
 
     def _read_store(self) -> None:
@@ -116,7 +118,7 @@
         self._pace = Pace.from_bounds(bounds.stable_window_s, shortest_s)
         for kind, taker in takers(self._site, self._log).items():
             feed = self._feeds[kind] = Feed(kind, self._pace, taker, self._log)
-            feed.on_news = self._note_news
+            feed.on_update = self._announce_update
             reader = StoreReader(self._reactor, self._settings.store, feed)
             self._readers[kind] = reader
             reader.start()
@@ -124,12 +126,12 @@
         config = self._feeds[objects.CONFIGURATIONS]
         self._steering.knows_all_routes = lambda now: config.is_current
 
-    def _meet(self) -> None:
+    def _start_peering(self) -> None:
         """Begin to speak with the other entries; forwarding goes before."""
-        if self._neighbours is None:
-            from .meeting import meet  # noqa: PLC0415 (not needed to forward)
+        if self._peering is None:
+            from .meeting import start_peering  # noqa: PLC0415 (not needed to forward)
 
-            self._neighbours = meet(
+            self._peering = start_peering(
                 self._reactor,
                 self._settings,
                 self._steering.suspicion,
@@ -138,16 +140,16 @@
                 self._lifecycle,
                 self._log,
             )
-        self._neighbours.follow(self._feeds, self._readers, self._pace)
+        self._peering.follow(self._feeds, self._readers, self._pace)
 
-    def _note_news(self) -> None:
+    def _announce_update(self) -> None:
         """Tell the others, and take packets once something is known to go by."""
-        if self._neighbours is not None:
-            self._neighbours.check()
-        if self._site.is_known and not self._takes_packets:
-            self._takes_packets = True
+        if self._peering is not None:
+            self._peering.check()
+        if self._site.is_known and not self._accepts_packets:
+            self._accepts_packets = True
             self._port.open()
-            self._reactor.callLater(MEETING_S, self._meet)
+            self._reactor.callLater(PEERING_DELAY_S, self._start_peering)
 
     def _ready_page(self, query: bytes) -> PageAnswer:
         ready = self._site.is_known and not self._lifecycle.is_stopping
@@ -156,7 +158,7 @@
             self._log.emit(Event.READY if ready else Event.UNREADY)
         return PageAnswer(200 if ready else 503)
 
-    def _own(self) -> EntryMetrics:
+    def _load_metrics(self) -> EntryMetrics:
         """Return what shows metrics and state; what that takes is imported now."""
         if self._metrics is None:
             from ..adapters import entry_metrics  # noqa: PLC0415 (see its module)
@@ -170,12 +172,12 @@
                 drops=self._port.drops,
                 store_outcomes=self._store_outcomes,
                 drain_times=lambda: {
-                    entry_metrics.ANSWERS: _drained(self._steering.answer_times),
-                    entry_metrics.LOOP_DELAY: _drained(self._loop_delays),
+                    entry_metrics.ANSWERS: _drain(self._steering.answer_latencies),
+                    entry_metrics.LOOP_DELAY: _drain(self._loop_delays),
                     entry_metrics.STORE_LISTS: [
                         each
                         for reader in self._readers.values()
-                        for each in _drained(reader.call_times)
+                        for each in _drain(reader.call_latencies)
                     ],
                 },
                 is_ready=lambda: self._was_ready,
@@ -192,26 +194,26 @@
         return total
 
     def _member_names(self) -> list[str]:
-        if self._neighbours is None:
+        if self._peering is None:
             return [self._settings.name]
-        return self._neighbours.names()
+        return self._peering.names()
 
     def _sweep(self) -> None:
         now = self._reactor.seconds()
         self._loop_delays.append(max(0.0, now - self._sweep_due))
-        self._sweep_due = now + SWEEP_S
-        self._reactor.callLater(SWEEP_S, self._sweep)
+        self._sweep_due = now + SWEEP_INTERVAL_S
+        self._reactor.callLater(SWEEP_INTERVAL_S, self._sweep)
         self._steering.expire(self._reactor.seconds())
         self._log.flush()
-        if _stamp(self._settings_path) != self._settings_stamp:
+        if _file_version(self._settings_path) != self._settings_version:
             self._reload()
 
     def _end_lost_flows(self) -> None:
-        self._reactor.callLater(LOST_FLOWS_S, self._end_lost_flows)
+        self._reactor.callLater(LOST_FLOWS_INTERVAL_S, self._end_lost_flows)
         self._port.end_lost_flows()
 
     def _reload(self) -> None:
-        self._settings_stamp = _stamp(self._settings_path)
+        self._settings_version = _file_version(self._settings_path)
         try:
             settings = DirectSettings.load(self._settings_path)
         except SettingsError as exc:
@@ -225,22 +227,22 @@
                 reader.stop()
             self._readers = {}
             self._read_store()
-            self._meet()
+            self._start_peering()
         self._settings = settings
 
-    def _tell_error(self, exc: BaseException) -> None:
-        place, tb = [], exc.__traceback__
+    def _log_error(self, exc: BaseException) -> None:
+        frames, tb = [], exc.__traceback__
         while tb is not None:
-            place.append(f"{tb.tb_frame.f_code.co_qualname}:{tb.tb_lineno}")
+            frames.append(f"{tb.tb_frame.f_code.co_qualname}:{tb.tb_lineno}")
             tb = tb.tb_next
-        self._log.emit(Event.INTERNAL_ERROR, error=repr(exc), calls=place)
+        self._log.emit(Event.INTERNAL_ERROR, error=repr(exc), calls=frames)
 
     def _stop(self) -> None:
         if not self._lifecycle.is_stopping:
             self._log.emit(Event.STOPPING, flows=len(self._steering.flows))
             self._lifecycle.begin_stop(self._reactor.seconds())
-            if self._neighbours is not None:
-                self._neighbours.beat_now()
+            if self._peering is not None:
+                self._peering.beat_now()
             self._check_stop()
 
     def _check_stop(self) -> None:
@@ -249,7 +251,7 @@
             self._log.emit(Event.STOPPED, packets=self._port.packets)
             self._reactor.stop()
             return
-        self._reactor.callLater(STOP_CHECK_S, self._check_stop)
+        self._reactor.callLater(STOP_CHECK_INTERVAL_S, self._check_stop)
 
 
 def run(settings: DirectSettings, settings_path: str, sock: socket.socket) -> None:
@@ -261,14 +263,14 @@
     reactor.run()
 
 
-def _drained(times: deque[float]) -> list[float]:
+def _drain(times: deque[float]) -> list[float]:
     """Hand over the times that have gathered."""
-    drained = list(times)
+    samples = list(times)
     times.clear()
-    return drained
+    return samples
 
 
-def _stamp(path: str) -> tuple[float, int]:
+def _file_version(path: str) -> tuple[float, int]:
     """Return what tells one state of a file from another."""
     try:
         status = os.stat(path)
--- a/kumquatshift/platform/journal.py
+++ b/kumquatshift/platform/journal.py
@@ -8,7 +8,7 @@
 STANDARD_SLOTS = ("quiet", "trouble", "scale")
 
 #: The bench's names of the final faults that end every entry at once.
-RESTARTS = ("power_off_all", "kill_all")
+RESTART_FAULTS = ("power_off_all", "kill_all")
 
 
 @dataclass(frozen=True)
@@ -98,19 +98,19 @@
     days = []
     for day in site["day"]:
         closing = day.get("closing") or {}
-        restarts = closing.get("kind") in RESTARTS
+        restarts = closing.get("kind") in RESTART_FAULTS
         length_s = float(day.get("length_s", site["length_s"]))
         down_s = float(closing.get("down_s", 0.0)) if restarts else 0.0
         days.append(SiteDay(day["name"], length_s, down_s))
-    return tuple(days), _demands(site)
+    return tuple(days), _request_classes(site)
 
 
-def _demands(site: dict) -> tuple[Demand, ...]:
+def _request_classes(site: dict) -> tuple[Demand, ...]:
     counts: dict[str, float] = {}
-    for place in site["traffic"]:
-        total = sum(place["mix"].values())
-        for name, part in place["mix"].items():
-            counts[name] = counts.get(name, 0.0) + place["per_s"] * part / total
+    for traffic in site["traffic"]:
+        total = sum(traffic["mix"].values())
+        for name, part in traffic["mix"].items():
+            counts[name] = counts.get(name, 0.0) + traffic["per_s"] * part / total
     worths = {kind["name"]: kind["worth"] for kind in site["classes"]}
     whole = sum(counts[name] * worths[name] for name in counts)
     return tuple(
--- a/kumquatshift/platform/meeting.py
+++ b/kumquatshift/platform/meeting.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from ..adapters.neighbours import Neighbours
-from ..direct.events import Events
+from ..adapters.peering import Neighbours
+from ..direct.events import EventSink
 from ..direct.feed import Feed
 from ..direct.lifecycle import Lifecycle
 from ..direct.members import Member, Members
@@ -13,19 +13,19 @@
 from ..direct.warmup import Warmup
 
 
-def meet(
+def start_peering(
     reactor,
     settings: DirectSettings,
     suspicion: Suspicion,
     feeds: dict[str, Feed],
     warmup: Warmup,
     lifecycle: Lifecycle,
-    events: Events,
+    events: EventSink,
 ) -> Neighbours:
     """Open the port to other entries and begin to speak with them."""
     me = Member(settings.name, settings.domain, settings.peers)
     members = Members(me, settings.seeds, events)
-    neighbours = Neighbours(
+    peering = Neighbours(
         reactor,
         members,
         suspicion,
@@ -34,5 +34,5 @@
         lifecycle,
         Handout(settings.link_bytes_per_s),
     )
-    neighbours.start()
-    return neighbours
+    peering.start()
+    return peering
--- a/kumquatshift/platform/objects.py
+++ b/kumquatshift/platform/objects.py
@@ -17,7 +17,7 @@
 # The one object of its kind that is the configuration.
 CONFIGURATION_NAME = "main"
 
-DRAINS = {"ready": False, "draining": True}
+DRAINING_BY_STATE = {"ready": False, "draining": True}
 
 
 class UnreadableError(ValueError):
@@ -75,7 +75,7 @@
             domain=_text(spec["zone"]),
             address=(host, _within(int(port), 1, 65_535)),
             slots=_within(spec["maxConcurrency"], 1, 1_000_000),
-            drains=DRAINS[spec["state"]],
+            drains=DRAINING_BY_STATE[spec["state"]],
             warms_for_s=warms_for_ms / 1000,
         )
     except (ValueError, TypeError, KeyError, AttributeError, OSError) as exc:
@@ -94,8 +94,8 @@
     port = int(wire["pathPrefix"].strip("/"))
     split = wire.get("trafficSplit") or [{"service": wire["service"], "weight": 1}]
     shares = tuple(Share(_text(s["service"]), float(s["weight"])) for s in split)
-    place = place_of(wire["host"], port)
-    return Route(str(wire["name"]), place, shares, int(wire.get("priority", 0)))
+    destination = place_of(wire["host"], port)
+    return Route(str(wire["name"]), destination, shares, int(wire.get("priority", 0)))
 
 
 def _limits(wire: dict) -> ServiceLimits:
--- a/kumquatshift/platform/packets.py
+++ b/kumquatshift/platform/packets.py
@@ -35,7 +35,7 @@
         return None
     return Packet(
         flow=data[_FLOW],
-        place=data[14:18] + data[6:8],
+        destination=data[14:18] + data[6:8],
         is_syn=bool(flags & SYN),
         is_last=bool(flags & (FIN | RST)),
         has_ack=bool(flags & ACK),
--- a/kumquatshift/platform/port.py
+++ b/kumquatshift/platform/port.py
@@ -12,7 +12,7 @@
 from .packets import MAX_DATA_BYTES, caller_host, decode, forwarded, reset
 
 if TYPE_CHECKING:
-    from ..direct.events import Events
+    from ..direct.events import EventSink
 
 RECEIVE_BYTES = MAX_DATA_BYTES + 256
 
@@ -24,7 +24,7 @@
     """Takes packets, asks `Steering` about each, and carries its answer out."""
 
     def __init__(
-        self, reactor, sock: socket.socket, steering: Steering, events: Events
+        self, reactor, sock: socket.socket, steering: Steering, events: EventSink
     ):
         self.last_packet_at = reactor.seconds()
         self.packets = 0
@@ -69,7 +69,7 @@
         decision = self._steering.decide(packet, now)
         if isinstance(decision, Forward):
             target = decision.target
-            cookie = target.cookie(packet.place)
+            cookie = target.cookie(packet.destination)
             self._send(forwarded(data, target.key, cookie), target.address)
         elif isinstance(decision, Reset):
             if packet.is_syn:
@@ -97,12 +97,12 @@
 
     def _reset(self, flow: bytes, ack: int) -> None:
         self.resets += 1
-        place = (caller_host(flow), self._callers_port)
-        self._send(reset(flow, ack), place)
+        destination = (caller_host(flow), self._callers_port)
+        self._send(reset(flow, ack), destination)
 
-    def _send(self, data: bytes, place: tuple[str, int]) -> None:
+    def _send(self, data: bytes, destination: tuple[str, int]) -> None:
         try:
-            self._sock.sendto(data, place)
+            self._sock.sendto(data, destination)
         except OSError:
             # The link is full or down: like a packet lost on it, the sender
             # sends again.
--- a/kumquatshift/platform/store.py
+++ b/kumquatshift/platform/store.py
@@ -25,10 +25,10 @@
 
 # While others' news is followed: how often the feed is asked for its next call,
 # beside the times at which news comes.
-FOLLOWING_S = 0.25
+FOLLOW_POLL_S = 0.25
 
 # List times kept until they are next asked for.
-KEPT_TIMES = 1000
+MAX_LATENCY_SAMPLES = 1000
 
 FAILURES = {410: Failure.EXPIRED, 429: Failure.OVERLOADED}
 
@@ -43,15 +43,15 @@
         self.codec: NewsCodec | None = None
         self._peer: HttpCaller | None = None
         self.outcomes: dict[str, int] = {}
-        self.call_times: deque[float] = deque(maxlen=KEPT_TIMES)
-        self._called_at = 0.0
-        self._next = None
+        self.call_latencies: deque[float] = deque(maxlen=MAX_LATENCY_SAMPLES)
+        self._call_started_at = 0.0
+        self._timer = None
         self._is_following = False
         self._is_stopped = False
 
     def start(self) -> None:
         """Make the feed's next call as soon as it is due."""
-        self._later(self._feed.wait_s(self._reactor.seconds()))
+        self._schedule(self._feed.wait_s(self._reactor.seconds()))
 
     def stop(self) -> None:
         """Make no more calls, and close the connections."""
@@ -67,55 +67,57 @@
             self._cancel()
             self._call()
 
-    def _later(self, wait_s: float) -> None:
-        self._next = self._reactor.callLater(wait_s, self._call)
+    def _schedule(self, wait_s: float) -> None:
+        self._timer = self._reactor.callLater(wait_s, self._call)
 
     def _cancel(self) -> None:
-        if self._next is not None and self._next.active():
-            self._next.cancel()
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
 
     def _call(self) -> None:
         self._is_following = False
         call = self._feed.next_call(self._reactor.seconds())
         if call is None:
             self._is_following = True
-            self._later(FOLLOWING_S)
+            self._schedule(FOLLOW_POLL_S)
         elif isinstance(call, NewsCall):
-            self._ask(call)
+            self._call_peer(call)
         else:
-            self._called_at = self._reactor.seconds()
-            done = self._listed if isinstance(call, ListCall) else self._watched
-            self._caller.call("GET", path_of(call), b"", call.timeout_s, done)
+            self._call_started_at = self._reactor.seconds()
+            done = self._on_list if isinstance(call, ListCall) else self._on_watch
+            self._caller.call("GET", request_path(call), b"", call.timeout_s, done)
 
-    def _ask(self, call: NewsCall) -> None:
+    def _call_peer(self, call: NewsCall) -> None:
         """Ask another entry; its connection is kept for the next time."""
         if self._peer is None or self._peer.address != call.address:
             if self._peer is not None:
                 self._peer.close()
             self._peer = HttpCaller(self._reactor, call.address)
         path = self.codec.path(call.kind, call.since)
-        self._peer.call("GET", path, b"", call.timeout_s, self._told)
+        self._peer.call("GET", path, b"", call.timeout_s, self._on_peer_answer)
 
-    def _told(self, answer: Response | CallFailure) -> None:
+    def _on_peer_answer(self, answer: Response | CallFailure) -> None:
         if isinstance(answer, Response) and answer.status == BUSY_STATUS:
             self._feed.take_news_busy(self._reactor.seconds())
-            self._go_on()
+            self._schedule_next()
             return
         feed = self._feed
-        self._take(answer, self.codec.decode, feed.take_news, feed.take_news_failure)
+        self._handle_answer(
+            answer, self.codec.decode, feed.take_news, feed.take_news_failure
+        )
 
-    def _listed(self, answer: Response | CallFailure) -> None:
+    def _on_list(self, answer: Response | CallFailure) -> None:
         self._count(answer)
-        self.call_times.append(self._reactor.seconds() - self._called_at)
+        self.call_latencies.append(self._reactor.seconds() - self._call_started_at)
         feed = self._feed
-        self._take(answer, page_from, feed.take_page, feed.take_failure)
+        self._handle_answer(answer, page_from, feed.take_page, feed.take_failure)
 
-    def _watched(self, answer: Response | CallFailure) -> None:
+    def _on_watch(self, answer: Response | CallFailure) -> None:
         self._count(answer)
         feed = self._feed
-        self._take(answer, changes_from, feed.take_changes, feed.take_failure)
+        self._handle_answer(answer, changes_from, feed.take_changes, feed.take_failure)
 
-    def _take(
+    def _handle_answer(
         self,
         answer: Response | CallFailure,
         decode: Callable[[bytes], Decoded],
@@ -136,9 +138,9 @@
                 fail(Failure.UNREADABLE, str(exc), now)
             else:
                 take(decoded, now)
-        self._go_on()
+        self._schedule_next()
 
-    def _go_on(self) -> None:
+    def _schedule_next(self) -> None:
         if not self._is_stopped:
             self.start()
 
@@ -148,15 +150,15 @@
         self.outcomes[outcome] = self.outcomes.get(outcome, 0) + 1
 
 
-def path_of(call: ListCall | WatchCall) -> str:
+def request_path(call: ListCall | WatchCall) -> str:
     """Return the path and query of a call."""
     path = f"/api/objects/{call.kind}"
     if isinstance(call, WatchCall):
         return f"{path}?watch={call.revision}&waitMs={int(call.wait_s * 1000)}"
-    return f"{path}?after={_quoted(call.after)}" if call.after else path
+    return f"{path}?after={_quote(call.after)}" if call.after else path
 
 
-def _quoted(name: str) -> str:
+def _quote(name: str) -> str:
     """Escape a name for a query (RFC 3986, section 2.1).
 
     ``urllib.parse`` does the same, and is most of a list's time to import.
--- a/kumquatshift/platform/takers.py
+++ b/kumquatshift/platform/takers.py
@@ -11,40 +11,40 @@
 from . import objects
 
 if TYPE_CHECKING:
-    from ..direct.events import Events
-    from ..direct.feed import FeedTarget
+    from ..direct.events import EventSink
+    from ..direct.feed import FeedListener
 
 
-def takers(site: Site, events: Events) -> dict[str, FeedTarget]:
+def takers(site: Site, events: EventSink) -> dict[str, FeedListener]:
     """Return who takes in each kind of object."""
     return {
-        objects.CONFIGURATIONS: ConfigurationTaker(site, events),
-        objects.TARGETS: TargetTaker(site, events),
-        objects.EVACUATIONS: EvacuationTaker(site),
+        objects.CONFIGURATIONS: ConfigurationListener(site, events),
+        objects.TARGETS: TargetListener(site, events),
+        objects.EVACUATIONS: EvacuationListener(site),
     }
 
 
-class ConfigurationTaker:
+class ConfigurationListener:
     """Hands configurations from the store to the site."""
 
-    def __init__(self, site: Site, events: Events):
+    def __init__(self, site: Site, events: EventSink):
         self._site = site
         self._events = events
 
     def take_list(self, items: tuple[Item, ...], after_loss: bool, now: float) -> None:
         """Take in the configuration, if there is one already."""
         for item in items:
-            self._take(item)
+            self._apply(item)
 
     def take_change(self, change: Change, now: float) -> None:
         """Take in a new configuration."""
         if not change.is_deleted:
-            self._take(change.item)
+            self._apply(change.item)
 
     def note_loss(self, now: float) -> None:
         """Pass over it: what was in force stays."""
 
-    def _take(self, item: Item) -> None:
+    def _apply(self, item: Item) -> None:
         if item.name != objects.CONFIGURATION_NAME:
             return
         try:
@@ -55,10 +55,10 @@
         self._site.put_configuration(cfg, "store")
 
 
-class TargetTaker:
+class TargetListener:
     """Hands what targets say of themselves to the site."""
 
-    def __init__(self, site: Site, events: Events):
+    def __init__(self, site: Site, events: EventSink):
         self._site = site
         self._events = events
 
@@ -89,7 +89,7 @@
             return None
 
 
-class EvacuationTaker:
+class EvacuationListener:
     """Hands evacuated domains to the site."""
 
     def __init__(self, site: Site):
@@ -102,7 +102,7 @@
     def take_change(self, change: Change, now: float) -> None:
         """Take in that a domain is evacuated, or taken back."""
         if change.is_deleted:
-            self._site.take_back(change.item.name)
+            self._site.restore_domain(change.item.name)
         else:
             self._site.evacuate(change.item.name)
 
