--- a/kumquatshift/direct/__init__.py
+++ b/kumquatshift/direct/__init__.py
@@ -1,6 +1,7 @@
-"""Direct return: targets answer callers themselves, entries see one direction.
+"""Direct server return: targets reply to callers directly, bypassing the entry.
 
-The packet of a flow carries a cookie that names its target, so any entry can
-forward it without a record of the flow. All modules here are pure decisions, on
-the clock that they are given; `docs/PLATFORM.md` shows how they fit together.
+Entries see only packets from callers. Each packet carries a cookie that
+identifies its target, so any entry can forward it without per-flow state. The
+modules here do no I/O and take the current time as an argument;
+`docs/PLATFORM.md` describes how they fit together.
 """
--- a/kumquatshift/direct/feed.py
+++ b/kumquatshift/direct/feed.py
@@ -1,11 +1,11 @@
-"""When to list, to watch, or to follow: one feed for each kind of object.
-
-A feed lists its kind once. Then it follows other entries of its domain while
-their news is fresh, or watches the store itself; it starts over when the
-history is gone or the store was out of reach. It makes no call itself: the
-driver asks for the next one and tells what came of it. A watch is never longer
-than the bounds on reacting to a change allow, since a connection that has gone
-silent looks just like one on which nothing happens.
+"""State machine that keeps one kind of object in sync with the store.
+
+A feed lists all objects of its kind once. It then follows the updates of peers
+in its domain while these are fresh, or watches the store itself; it lists again
+when the store's history has expired or the store was unreachable. It does no
+I/O: the driver asks for the next call, makes it and passes the result back. The
+length of a watch is limited by the deadlines for reacting to a change, since a
+dead connection looks the same as one without changes.
 """
 
 from __future__ import annotations
@@ -35,89 +35,92 @@
     from .news import News, Source
 
     class FeedListener(Protocol):
-        """Who takes in what a feed brings."""
+        """Receives the objects and changes that a feed reads."""
 
         def take_list(
             self, items: tuple[Item, ...], after_loss: bool, now: float
         ) -> None:
-            """Take in all objects; ``after_loss`` if the store was out of reach."""
+            """Process the full list; ``after_loss`` if the store was unreachable."""
             ...
 
         def take_change(self, change: Change, now: float) -> None:
-            """Take in one change."""
+            """Process one change."""
             ...
 
         def note_loss(self, now: float) -> None:
-            """Note that the store was out of reach for those who read it."""
+            """Process that the store was unreachable for the domain's readers."""
             ...
 
 
-# Changes that come in a burst, such as a rolling release, cost one call for all
-# that happen within this time. It is well below the bounds on reacting.
+# Changes within this time are fetched in one call, which saves calls in bursts
+# such as rolling releases. It is well below the deadlines for reacting.
 BATCH_S = 0.5
 
-# A list is answered within milliseconds; a store that is slow by a factor of
-# a hundred still makes the first time-out.
+# A list is normally answered within milliseconds; a store that is slower by a
+# factor of a hundred still answers within the first timeout.
 FIRST_TIMEOUT_S = 0.8
 MAX_TIMEOUT_S = 3.0
 TIMEOUT_GROWTH = 1.5
 
-# After a failure: soon enough that a store that is back is used at once, and
-# few enough calls while it refuses them.
+# Retry delays after a failure: short enough to notice quickly that the store is
+# back, long enough not to flood a store that refuses calls.
 RETRY_S = 0.3
 RETRY_OVERLOADED_S = 1.0
 
-# An entry that others read for asks for itself now and then all the same: the
-# store may refuse just the readers.
+# Followers also retry the store occasionally, since it may refuse only the
+# readers.
 RETRY_FOLLOWER_S = 1.2
 
-# What a follower needs to read for itself once its news is too old: a list
-# of all objects, from a store that is not slow.
+# Time that a follower needs to read the store itself once its peers' updates are
+# stale: one full list from a store of normal speed.
 SELF_READ_S = 0.6
 
-# Two heartbeats of a reader: one may be lost.
+# Two heartbeat intervals of a reader, so that one heartbeat may be lost.
 HEARTBEAT_MARGIN_S = 1.0
 
-# Kept back from the age of news for the store's time to answer a reader.
+# Part of the allowed age of updates that is reserved for the store's response
+# time to a reader.
 READER_ANSWER_MARGIN_S = 0.2
 
-# What a watch that went silent is made up for in: a retry and a list.
+# Time to recover from a watch that went silent: one retry and one list.
 WATCH_MARGIN_S = 0.4
 
-# However short the bounds are: more calls than this cost more than they tell.
+# Lower limits, however short the deadlines are: calls at a higher rate would cost
+# more than they gain.
 MIN_WATCH_S = 0.5
 MIN_FRESH_S = 1.5
 
-# Another entry of the domain answers within milliseconds.
+# A peer in the domain normally answers within milliseconds.
 PEER_CALL_TIMEOUT_S = 0.5
 
-# Another entry that has given its link's share to others is asked again after
-# this time, or one that has got the news meanwhile is; with twice as many that
-# have it in each round, a domain of a hundred has it within two seconds.
+# When a peer has used up its bandwidth for updates, the next attempt comes after
+# this delay, at that peer or at another one that has the update by then. The
+# number of entries that have it doubles with each round, so an update reaches a
+# domain of a hundred entries within two seconds.
 BUSY_RETRY_S = 0.15
 BUSY_GIVE_UP_S = 2.0
 
-# A store that has refused an entry is asked again after this time, if others
-# of the domain reach it.
+# Time after which a store that refused this entry counts as reachable again, so
+# that the entry may become a reader.
 REFUSAL_TTL_S = 10.0
 
-# What an open watch takes to bring a change: the store's answer and the way.
+# Time for a change to arrive on an open watch: store response plus network delay.
 WATCH_DELIVERY_S = 0.1
 
-# Changes kept for entries that follow; a lost heartbeat or two is made up.
+# Changes kept for followers, enough to cover one or two lost heartbeats.
 MAX_HISTORY_CHANGES = 400
 
-# What a watch may take beyond the time that it asked for: a store that is slow
-# by a factor of a hundred answers in 0.4 s.
+# Time that a watch may take beyond the requested wait: a store that is slower by
+# a factor of a hundred answers in 0.4 s.
 WATCH_GRACE_S = 0.5
 
 
 class Pace(NamedTuple):
-    """How long watches last, and how old news may be; all in seconds.
+    """Durations of watches and the allowed age of updates, all in seconds.
 
-    ``watch_s`` is for an entry that reads for itself. A reader proves with each
-    ``reader_watch_s`` that its watch works, and others follow it while its news
-    is no older than ``fresh_s``.
+    ``watch_s`` applies to an entry that reads only for itself. A reader for the
+    domain renews its watch every ``reader_watch_s`` to prove that it works, and
+    peers follow it while its updates are no older than ``fresh_s``.
     """
 
     watch_s: float
@@ -126,11 +129,11 @@
 
     @classmethod
     def from_bounds(cls, stable_window_s: float, shortest_s: float) -> Pace:
-        """Work the times out from the shortest bound on reacting to a change.
+        """Derive the durations from the shortest deadline for reacting to a change.
 
-        A change is due within its bound, or when the store has been well for
-        the stable window, whichever is later; both may begin while a watch has
-        just gone silent.
+        A change must take effect within its deadline, or once the store has been
+        healthy for the stable window, whichever is later. Both periods may start
+        just after a watch has gone silent.
         """
         fresh_s = max(MIN_FRESH_S, shortest_s - SELF_READ_S)
         reader_watch_s = max(
@@ -142,9 +145,9 @@
 
 
 class Feed:
-    """One kind of object, kept up to date.
+    """Keeps one kind of object up to date.
 
-    ``on_news`` is called after the target has taken in something new.
+    ``on_update`` is called after the listener has processed something new.
     """
 
     def __init__(
@@ -178,16 +181,16 @@
         self._busy_since = 0.0
 
     def follow(self, members: Members, news: News) -> None:
-        """Learn from other entries too."""
+        """Read updates from other entries too."""
         self._members = members
         self._peers = news
 
     def reaches_store(self, now: float) -> bool:
-        """Tell whether nothing speaks against reading the store from here."""
+        """Return whether the store is presumed reachable from this entry."""
         return self._lost_at is None or now - self._failed_at > REFUSAL_TTL_S
 
     def tick(self, now: float) -> Tick | None:
-        """Return how far the feed's knowledge goes, or None if it has none."""
+        """Return the feed's revision and age, or None before its first list."""
         if self._known_revision < 0:
             return None
         age_s = round(now - self.confirmed_at, 3)
@@ -197,14 +200,14 @@
         )
 
     def lacks(self, tick: Tick) -> bool:
-        """Tell whether another entry has changes that are not known here."""
+        """Return whether a peer has changes that are not known here."""
         return tick.changed > self._known_revision
 
     def known_until(self, now: float) -> float:
         """Return the time up to which every change is known.
 
-        An open watch brings changes at once, if it is not silent; else it is
-        when the store last confirmed what is known.
+        With an open watch that is not overdue, this is the present minus the
+        delivery delay; otherwise it is when the store last confirmed the state.
         """
         watched_s = now - self.confirmed_at
         if self._is_watching and watched_s < self._pace.watch_s + WATCH_GRACE_S:
@@ -216,7 +219,7 @@
         return max(0.0, self._next_call_at - now)
 
     def next_call(self, now: float) -> ListCall | WatchCall | NewsCall | None:
-        """Return the call to make now; None while following brings nothing."""
+        """Return the call to make now, or None if a followed peer has no changes."""
         uses_readers = self._members is not None and self._members.uses_readers()
         self._update_reader_role(
             uses_readers and self._members.is_reader(self.kind, self.reaches_store(now))
@@ -241,9 +244,9 @@
         )
 
     def take_page(self, page: Page, now: float) -> None:
-        """Take in a page; the last one completes the list."""
+        """Process a page; the last one completes the list."""
         if not self._pages:
-            # Changes between two pages come again with the first watch.
+            # The first watch starts here and repeats changes made between pages.
             self._first_revision = page.revision
         self._pages.extend(page.items)
         if page.has_more and page.items:
@@ -253,7 +256,7 @@
         self._apply_list(items, self._first_revision, now)
 
     def take_changes(self, changes: Changes, now: float) -> None:
-        """Take in what a watch brought."""
+        """Process the result of a watch."""
         self._is_watching = False
         self._known_revision = changes.revision
         self._note_store_answer(now)
@@ -262,12 +265,12 @@
             self._next_call_at = now + BATCH_S
 
     def take_news(self, news: NewsAnswer, now: float) -> None:
-        """Take in what another entry knows."""
+        """Process an update from a peer."""
         self._busy_tries = 0
         if news.tick.revision < self._known_revision:
             return
         if now - self.confirmed_at > self._pace.fresh_s:
-            # The readers had lost the store too, and tell now what it lists.
+            # The readers had lost the store too, and now pass on its new list.
             self._listener.note_loss(now)
         if news.is_whole:
             self._apply_snapshot(news.items, news.tick.changed, now)
@@ -278,25 +281,25 @@
         self.confirmed_at = max(self.confirmed_at, now - news.tick.age_s)
 
     def take_news_busy(self, now: float) -> None:
-        """Note that another entry answers others first; it is asked again soon."""
+        """Schedule a retry, since a peer was busy answering others."""
         if not self._busy_tries:
             self._busy_since = now
         elif now - self._busy_since > BUSY_GIVE_UP_S:
             self._busy_tries = 0
-            self.take_news_failure(Failure.OVERLOADED, "busy for long", now)
+            self.take_news_failure(Failure.OVERLOADED, "peers stayed busy", now)
             return
         self._busy_tries += 1
         self._next_call_at = now + BUSY_RETRY_S
 
     def take_news_failure(self, failure: str, detail: str, now: float) -> None:
-        """Note that another entry did not answer; the store is read instead."""
+        """Record that a peer did not answer; the store is read instead."""
         self._peer_failed_at = now
         self._events.emit(
             Event.NEWS_FAILED, kind=self.kind, failure=failure, detail=detail
         )
 
     def news_since(self, revision: int, now: float) -> NewsAnswer | None:
-        """Return what an entry lacks whose knowledge ends at ``revision``."""
+        """Return the update for a peer that knows everything up to ``revision``."""
         tick = self.tick(now)
         if tick is None:
             return None
@@ -306,7 +309,7 @@
         return NewsAnswer(False, (), changes, tick)
 
     def take_failure(self, failure: str, detail: str, now: float) -> None:
-        """Note that a call failed; the feed lists anew."""
+        """Record that a call to the store failed; the feed lists again."""
         self._is_watching = False
         self._failed_at = now
         self._is_listed = False
@@ -367,13 +370,13 @@
     def _apply_snapshot(
         self, items: tuple[Item, ...], changed: int, now: float
     ) -> None:
-        """Take in all that another entry knows."""
+        """Process a full snapshot from a peer."""
         self._replace_items(items, changed)
         self._listener.take_list(items, self._lost_at is not None, now)
         self._notify_update()
 
     def _replace_items(self, items: tuple[Item, ...], revision: int) -> None:
-        """Keep a whole list; what it changes is remembered as changes."""
+        """Replace all items, and append the differences to the history."""
         before = self._items
         self._items = {item.name: item for item in items}
         if self._known_revision < 0:
@@ -403,7 +406,7 @@
             self.on_update()
 
     def _is_newer(self, item: Item) -> bool:
-        """Pass over changes that were known already, such as from a later page."""
+        """Return False for changes already known, such as from a later page."""
         known = self._items.get(item.name)
         return known is None or item.revision >= known.revision
 
@@ -415,7 +418,7 @@
         self._append_history(change, revision)
 
     def _append_history(self, change: Change, revision: int) -> None:
-        """Keep a change for entries that follow."""
+        """Add a change to the history that followers are served from."""
         self.changed = revision
         self._history.append((revision, change))
         if len(self._history) > MAX_HISTORY_CHANGES:
--- a/kumquatshift/direct/flows.py
+++ b/kumquatshift/direct/flows.py
@@ -1,29 +1,30 @@
-"""Flows that an entry has seen lately: a cache, never the only record.
+"""Cache of recently seen flows.
 
-A flow's place is its cookie. What is kept here serves to notice packets that
-are sent again, to hold a flow at its target while an opening packet is
-repeated, and to count how many flows a target has.
+A flow's target is determined by its cookie, so no record here is required for
+forwarding. The cache serves to detect retransmissions, to keep a flow at its
+target while its opening packet is retransmitted, and to count flows per target.
 """
 
 from __future__ import annotations
 
 from .targets import LiveTarget
 
-# 2,000 flows a target and a dozen targets in reach of an entry, at some 300
-# bytes each, stay within 10 MB.
+# Covers 2,000 flows per target at a dozen targets within reach of an entry. At
+# about 300 bytes per flow, the table stays within 10 MB.
 MAX_FLOWS = 20_000
 
-# The last packets of a flow that closes come within a few round trips.
+# The last packets of a closing flow arrive within a few round trips.
 CLOSING_S = 1.0
 
 
 class Flow:
-    """What one entry has seen of one flow.
+    """State of one flow as observed by one entry.
 
-    ``acked`` is the caller's last acknowledgement and ``top`` the end of the
-    data that it has sent. ``repeats`` counts packets sent again since the last
-    sign of progress, and ``stuck_since`` is when the first of them was new.
-    ``asked_at`` is when the request that waits for an answer was sent.
+    ``last_ack`` is the caller's last acknowledgement number and ``highest_sent``
+    the end of the data that it has sent; both are -1 while unknown. ``repeats``
+    counts retransmissions since the last progress, and ``stalled_since`` is when
+    the first of these packets was originally sent. ``request_sent_at`` is when
+    the request that awaits an answer was sent.
     """
 
     __slots__ = (
@@ -57,7 +58,7 @@
 
 
 class FlowTable:
-    """The flows seen lately; the oldest make room when it is full."""
+    """Bounded table of recently seen flows; evicts the oldest when full."""
 
     def __init__(self, limit: int = MAX_FLOWS):
         self.evicted = 0
@@ -68,15 +69,15 @@
         return len(self._flows)
 
     def get(self, key: bytes) -> Flow | None:
-        """Return what is known of a flow, or None."""
+        """Return the state of a flow, or None if unknown."""
         return self._flows.get(key)
 
     def of_targets(self, targets: set[LiveTarget]) -> list[tuple[bytes, Flow]]:
-        """Return the flows at any of these targets, with their keys."""
+        """Return the flows of these targets, with their keys."""
         return [(k, flow) for k, flow in self._flows.items() if flow.target in targets]
 
     def add(self, key: bytes, target: LiveTarget, now: float) -> Flow:
-        """Note a flow at its target."""
+        """Add a flow of a target."""
         if len(self._flows) >= self._limit:
             self.remove(next(iter(self._flows)))
             self.evicted += 1
@@ -85,19 +86,19 @@
         return flow
 
     def move(self, flow: Flow, target: LiveTarget) -> None:
-        """Note that a flow is at another target."""
+        """Reassign a flow to another target."""
         self._release_load(flow)
         flow.target = target
         target.flows += 1
 
     def remove(self, key: bytes) -> None:
-        """Forget a flow."""
+        """Remove a flow if it is present."""
         flow = self._flows.pop(key, None)
         if flow is not None:
             self._release_load(flow)
 
     def expire(self, now: float, idle_s: float) -> None:
-        """Forget flows that have been idle for ``idle_s``, or have closed."""
+        """Remove flows that were idle for ``idle_s``, or have closed."""
         expired = []
         for key, flow in self._flows.items():
             limit_s = CLOSING_S if flow.is_closing else idle_s
--- a/kumquatshift/direct/members.py
+++ b/kumquatshift/direct/members.py
@@ -1,10 +1,10 @@
-"""Which entries there are, and which of them read the store for the others.
+"""Membership of entries, and selection of those that read the store for others.
 
-Entries of a failure domain send each other heartbeats. Two of them, by
-rendezvous hashing over those that reach the store, keep watches open and tell
-the rest what is new; nobody is elected, and one reader too many or too few for
-a moment costs a few calls. Nothing here needs to be agreed on: an entry that
-hears nobody reads for itself.
+Entries of a failure domain send each other heartbeats. Two of them, chosen by
+rendezvous hashing among those that reach the store, watch it and pass changes on
+to the rest. There is no election and no consensus: a reader too many or too few
+for a moment only costs a few calls, and an entry without peers reads the store
+itself.
 """
 
 from __future__ import annotations
@@ -23,31 +23,32 @@
 
 BEAT_S = 1.0
 
-# A reader's heartbeat also tells how old its news is, so it comes more often.
+# A reader's heartbeat also carries the age of its updates, so it is sent more
+# often.
 READER_BEAT_S = 0.5
 
-# Three heartbeats and a half: two in a row may be lost.
+# Three and a half heartbeat intervals, so that two in a row may be lost.
 PEER_TIMEOUT_S = 3.5
 
 READERS_PER_DOMAIN = 2
 
-# Below this many entries a domain's own watches cost fewer calls than readers
-# whose short watches prove every second that they work.
+# In smaller domains, a watch by each entry costs fewer calls than two readers,
+# whose watches are renewed about every second to prove that they work.
 MIN_ENTRIES_FOR_READERS = 6
 
-# A seed remembers who has asked it, so that those of one domain find each
-# other through a seed in another; entries ask again when they are alone.
+# A seed remembers the entries that have queried it, so that entries of one domain
+# find each other through a seed in another. Entries without peers query again.
 QUERIER_TTL_S = 30.0
 MAX_QUERIERS = 2000
 
-# Whom to ask for the other entries: soon after the start, when all start at
-# once, and then while nobody of the domain is heard.
+# When to query the seeds for other entries: several times soon after the start,
+# as all entries may start at once, and later while no peer is known.
 ASK_AT_S = (0.0, 0.5, 1.5, 4.0)
 ASK_ALONE_EVERY_S = 5.0
 
 
 class Beat(NamedTuple):
-    """What an entry tells the others of its domain about itself."""
+    """Heartbeat that an entry sends to its peers in the domain."""
 
     name: str
     domain: str
@@ -61,7 +62,7 @@
 
 
 class Member(NamedTuple):
-    """Where an entry is, for those that have not heard it yet."""
+    """Name, domain and address of an entry."""
 
     name: str
     domain: str
@@ -69,14 +70,14 @@
 
 
 class ReceivedHeartbeat(NamedTuple):
-    """A heartbeat, and when it came."""
+    """A heartbeat and the time of its arrival."""
 
     beat: Beat
     at: float
 
 
 class Members:
-    """The entries that one entry knows of."""
+    """The other entries known to one entry."""
 
     def __init__(self, me: Member, seeds: Iterable[tuple[str, int]], events: EventSink):
         self.me = me
@@ -87,7 +88,7 @@
         self._queriers: dict[str, tuple[Member, float]] = {}
 
     def hear(self, beat: Beat, now: float) -> None:
-        """Take in a heartbeat."""
+        """Process a heartbeat."""
         if beat.name == self.me.name:
             return
         if beat.name not in self._heartbeats and beat.domain == self.me.domain:
@@ -96,7 +97,7 @@
         self._candidates.pop(beat.name, None)
 
     def hear_of(self, members: Iterable[Member]) -> None:
-        """Take in where other entries of the own domain are."""
+        """Add entries of the own domain that have not sent a heartbeat yet."""
         for member in members:
             is_unknown = (
                 member.name not in self._heartbeats and member.name != self.me.name
@@ -105,13 +106,13 @@
                 self._candidates[member.name] = member
 
     def note_asking(self, member: Member, now: float) -> None:
-        """Keep where an entry is, for those who ask for others of its domain."""
+        """Record an entry that queried this one, to name it to others in its domain."""
         self.hear_of((member,))
         if len(self._queriers) < MAX_QUERIERS or member.name in self._queriers:
             self._queriers[member.name] = member, now
 
     def expire(self, now: float) -> None:
-        """Forget entries that have not been heard for long."""
+        """Drop entries whose last heartbeat or query is too old."""
         for name, (_, at) in list(self._queriers.items()):
             if now - at > QUERIER_TTL_S:
                 del self._queriers[name]
@@ -124,14 +125,14 @@
                     )
 
     def peers(self) -> list[ReceivedHeartbeat]:
-        """Return the other entries of the domain that are heard."""
+        """Return the latest heartbeats of the other entries in the domain."""
         own = self.me.domain
         return [
             heard for heard in self._heartbeats.values() if heard.beat.domain == own
         ]
 
     def domain_members(self, domain: str) -> tuple[Member, ...]:
-        """Return the entries of any domain that were heard or have asked."""
+        """Return known entries of any domain, from heartbeats and queries."""
         heard = {
             beat.name: Member(beat.name, beat.domain, beat.address)
             for beat, _ in self._heartbeats.values()
@@ -141,17 +142,17 @@
         return tuple(each for each in found.values() if each.domain == domain)
 
     def addresses(self) -> list[tuple[str, int]]:
-        """Return where heartbeats go: to the domain, heard or only named."""
+        """Return the addresses to send heartbeats to: peers and candidates."""
         found = {heard.beat.address for heard in self.peers()}
         found.update(member.address for member in self._candidates.values())
         return sorted(found)
 
     def forget_named(self) -> None:
-        """Forget entries that were only named and have not answered."""
+        """Drop entries that were named by others but sent no heartbeat."""
         self._candidates.clear()
 
     def seeds(self) -> tuple[tuple[str, int], ...]:
-        """Return whom to ask for other entries."""
+        """Return the addresses to query for other entries."""
         return self._seeds
 
     def names(self) -> list[str]:
@@ -159,13 +160,13 @@
         return sorted([self.me.name, *(heard.beat.name for heard in self.peers())])
 
     def uses_readers(self) -> bool:
-        """Tell whether the domain has enough entries for readers to pay."""
+        """Return whether the domain is large enough to use shared readers."""
         return len(self.peers()) + 1 >= MIN_ENTRIES_FOR_READERS
 
     def is_reader(self, kind: str, reaches_store: bool) -> bool:
-        """Tell whether this entry is one of those that read for the domain.
+        """Return whether this entry is one of the domain's readers.
 
-        While nobody reaches the store, it is one of those that ask for it often.
+        While no entry reaches the store, the readers are those that retry often.
         """
         remaining = [h.beat for h in self.peers() if not h.beat.is_leaving]
         eligible = [beat.name for beat in remaining if beat.reaches_store]
--- a/kumquatshift/direct/news.py
+++ b/kumquatshift/direct/news.py
@@ -1,12 +1,12 @@
-"""Learn from other entries of the domain what they have read from the store.
+"""Selection of peers to read store updates from, and limits on serving them.
 
-A tick in each heartbeat says how far its sender's knowledge goes and how old it
-is. As long as some tick is fresh, an entry makes no calls to the store; when
-none is, it reads for itself, whatever the readers do.
+Each heartbeat carries a `Tick` per kind of object: its sender's revision, and
+how old it is. While any reader's is fresh, an entry makes no calls to the store;
+otherwise it reads the store itself, whatever the readers do.
 
-The load pattern: a configuration of thousands of routes, which all followers ask
-for within milliseconds, in a domain of small machines. Whoever has it passes it
-on, and nobody gives it to more followers at once than its own link bears.
+This is designed for configurations of thousands of routes, which all followers
+request within milliseconds, in domains of small machines. Every entry that has
+an update serves it, but to no more followers at once than its link can carry.
 """
 
 from __future__ import annotations
@@ -19,22 +19,22 @@
 from .calls import Tick
 from .members import Members
 
-# Answers up to this size, a few packets each, are given to all at once.
+# Answers up to this size (a few packets each) are not limited.
 SMALL_ANSWER_BYTES = 4096
 
-# What long answers may take of an entry's link; callers' packets have the rest.
+# Share of an entry's link for larger answers; the rest is for callers' packets.
 LINK_SHARE = 0.25
 
 
 class Source(NamedTuple):
-    """Another entry, and how far its knowledge of one kind goes by now."""
+    """A peer, and its current revision and age for one kind of object."""
 
     address: tuple[str, int]
     tick: Tick
 
 
 class News:
-    """What the heartbeats of a domain say about one kind of object."""
+    """Selects peers by what their heartbeats say about one kind of object."""
 
     def __init__(self, kind: str, fresh_s: float, members: Members):
         self._kind = kind
@@ -42,7 +42,7 @@
         self._members = members
 
     def freshest(self, now: float) -> Source | None:
-        """Return the entry with the youngest knowledge, however old it is."""
+        """Return the peer with the most recently confirmed state, whatever its age."""
         found = None
         for address, tick, at in self._ticks():
             aged = tick._replace(age_s=tick.age_s + now - at)
@@ -51,11 +51,11 @@
         return found
 
     def reader_to_follow(self, known: int, now: float) -> Source | None:
-        """Return the fresh reader to follow, for an entry that knows ``known``.
+        """Return a fresh reader to follow, for an entry at revision ``known``.
 
-        Readers that can tell the changes since then one by one come first: all
-        followers asking a reader that has just started for all that it knows
-        would fill its link for a second.
+        Readers whose history reaches back to ``known`` are preferred: if all
+        followers requested a full snapshot from a reader that has just started,
+        its link would be saturated for a second.
         """
         found = None
         for address, tick, at in self._ticks():
@@ -68,10 +68,10 @@
         return found[1] if found is not None else None
 
     def alternate(self, source: Source, known: int, tries: int) -> Source:
-        """Return an entry to ask for what ``source`` has.
+        """Return a peer that can serve what ``source`` has.
 
-        Readers are the first to have it, and any other entry that has it will
-        do; each follower, and each further try, begins with another one.
+        Readers get an update first, but any peer that has it will do. The choice
+        is hashed by follower and attempt to spread the load.
         """
         wanted = source.tick.changed
         holders = [
@@ -87,7 +87,7 @@
         )
 
     def _ticks(self) -> Iterator[tuple[tuple[str, int], Tick, float]]:
-        """Yield the ticks of this kind, each with its entry and when it came."""
+        """Yield the status for this kind of each peer, with address and arrival."""
         for beat, at in self._members.peers():
             for tick in beat.ticks:
                 if tick.kind == self._kind:
@@ -95,14 +95,14 @@
 
 
 class Handout:
-    """How many long answers an entry gives to followers, for the sake of its link."""
+    """Rate limit for large answers to followers, which protects the entry's link."""
 
     def __init__(self, link_bytes_per_s: float):
         self._bytes_per_s = LINK_SHARE * link_bytes_per_s
         self._free_at = float("-inf")
 
     def admits(self, size: int, now: float) -> bool:
-        """Tell whether an answer of ``size`` bytes may be sent now."""
+        """Return whether an answer of ``size`` bytes may be sent now."""
         if size <= SMALL_ANSWER_BYTES:
             return True
         if now < self._free_at:
--- a/kumquatshift/direct/placement.py
+++ b/kumquatshift/direct/placement.py
@@ -1,10 +1,10 @@
-"""Choose a target for a new flow.
+"""Selection of a target for a new flow.
 
-Own failure domain first: a flow that stays in its domain outlives every cut
-between domains and costs no traffic across. It goes to another domain only when
-its own has no usable target, or has so many flows and requests in progress that
-the way to another pays. The load patterns: a domain that is cut off, evacuated
-or short of targets, and a burst beyond what a domain's targets can bear.
+Targets in the entry's own failure domain are preferred: such a flow survives
+network partitions between domains and causes no cross-domain traffic. A flow
+goes to another domain only if its own has no usable target, or if the load there
+outweighs the cost of crossing domains. This handles domains that are cut off,
+evacuated or short of targets, and bursts beyond the capacity of a domain.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 from .targets import LiveTarget, TargetTable
 from .warmup import Warmup
 
-# After the list was out of reach, targets missing from it get this long to come
-# back; the platform lists living ones again within two seconds.
+# After the list was unreachable, missing targets have this long to reappear; the
+# platform lists live ones again within two seconds.
 RELIST_GRACE_S = 2.3
 
-# A target that has left the list without draining, and still answers, is used
-# on for a while: leases lapse when the platform, not the target, is in trouble.
+# A target that was unlisted without draining stays in use if it answered within
+# this time: its lease may have expired because of a fault of the platform.
 RECENT_ANSWER_S = 1.0
 
-# What a flow to another domain must save to be worth its way: so many flows a
-# slot. Callers of long flows rest most of the time.
+# Load difference, in flows per slot, at which crossing domains pays off. It is
+# high because long-lived flows are idle most of the time.
 OTHER_DOMAIN_PENALTY_FLOWS = 40.0
 
-# So many targets are compared for a new flow, in a domain that has more.
+# Number of targets compared for a new flow in a domain that has more.
 MAX_COMPARED_TARGETS = 32
 
-# A request in progress is present load, an open flow only likely load.
+# A request in progress is actual load, an open flow only potential load.
 WAITING_WEIGHT = 2.0
 
 
@@ -66,10 +66,10 @@
     def _pick_local(
         self, local: tuple[LiveTarget, ...], limits: ServiceLimits, now: float
     ) -> LiveTarget | None:
-        """Return the best target of the own domain, unless another may be better.
+        """Return the best target of the own domain, or None if another may be better.
 
-        Of many only some are compared, in turn: the least loaded of a few dozen
-        is about as good as the least loaded of all.
+        In a large domain only a rotating window of targets is compared: the least
+        loaded of a few dozen is about as good as the least loaded of all.
         """
         if len(local) > MAX_COMPARED_TARGETS:
             start = self._picks * MAX_COMPARED_TARGETS % len(local)
@@ -87,12 +87,12 @@
     ) -> LiveTarget | None:
         eligible = self._eligible(targets, limits, now)
         usable = [t for t in eligible if self._is_usable(t, limits, now)]
-        # That all are suspected may be our own trouble: one of them is tried.
+        # If all are suspected, this entry's own link may be at fault: try one.
         usable = usable or [target for target in eligible if target.suspected]
         return min(usable, key=self._cost, default=None)
 
     def is_present(self, target: LiveTarget, now: float) -> bool:
-        """Tell whether a target is there, as far as this entry can know."""
+        """Return whether a target is presumed available."""
         if target.listed:
             return True
         if target.draining or now - target.unlisted_at > RELIST_GRACE_S:
@@ -102,17 +102,17 @@
         return now - target.progress_at < RECENT_ANSWER_S
 
     def is_gone(self, target: LiveTarget, now: float) -> bool:
-        """Tell whether a target has ended, so that its open flows are lost.
+        """Return whether a target has ended, so that its open flows are lost.
 
-        Leases lapse in the platform's troubles; a target that has answered
-        since it was taken off the list lives.
+        Leases may also expire because of faults of the platform; a target that
+        has answered since it was unlisted is alive.
         """
         if target.listed or self.is_relisting(now):
             return False
         return target.progress_at < target.unlisted_at
 
     def is_relisting(self, now: float) -> bool:
-        """Tell whether the list was out of reach until a moment ago."""
+        """Return whether the list was unreachable until recently."""
         return now - self.relisting_since < RELIST_GRACE_S
 
     def _eligible(
--- a/kumquatshift/direct/steering.py
+++ b/kumquatshift/direct/steering.py
@@ -1,7 +1,7 @@
-"""Decide for each packet of a caller where it goes.
+"""Forwarding decisions for packets from callers.
 
-An opening packet gets a target by its route; every other packet carries the
-cookie of its flow's target. Entries need no record of each other's flows::
+An opening packet is assigned a target by its route; every other packet carries
+the cookie of its flow's target. Entries need not share flow state::
 
     decision = steering.decide(packet, reactor.seconds())
 """
@@ -22,28 +22,30 @@
 if TYPE_CHECKING:
     from .events import EventSink
 
-# Times kept until they are next asked for: a minute's worth under load.
+# Samples kept until metrics are next collected: about a minute's worth under load.
 MAX_LATENCY_SAMPLES = 10_000
 
 SEQUENCE_MASK = 0xFFFFFFFF
 HALF_SEQUENCE = 1 << 31
 
-# A copy of an opening packet is placed elsewhere from the second on (600 ms):
-# one lost packet is common, two in a row are not.
+# From the second retransmission on (after 600 ms), an opening packet is assigned
+# another target: one lost packet is common, two in a row are not.
 MIN_REPLACING_COPY = 2
 
-# A flow seen within this time stays where it is, whatever cookie its packets
-# carry: after a late second answer to an opening packet they name the wrong one.
+# A flow seen within this time stays at its target even if its packets carry
+# another cookie: after a delayed second answer to an opening packet, the caller
+# uses the cookie of the wrong target.
 STICKY_FLOW_S = 2.0
 
-# Flows with a cookie that names no known target, until their callers give up;
-# as many as a zone's callers may hold after all its targets were replaced.
+# Flows with a cookie of no known target are remembered until their callers give
+# up. The limit covers all flows that a zone's callers may hold when all of its
+# targets are replaced.
 MAX_UNKNOWN_FLOWS = 4096
 UNKNOWN_FLOW_TTL_S = 10.0
 
 
 class Steering:
-    """Decisions of one entry about packets from callers."""
+    """Decides how one entry handles packets from callers."""
 
     def __init__(
         self,
@@ -64,7 +66,7 @@
         self._events = events
 
     def decide(self, packet: Packet, now: float) -> Decision:
-        """Return what is to be done with a packet."""
+        """Return how to handle a packet."""
         route = self._routes.get(packet.destination)
         if route is None:
             return self._without_route(packet, now)
@@ -75,11 +77,11 @@
         return self._handle_established(packet, now)
 
     def lost_flows(self, now: float) -> list[LostFlow]:
-        """Give up the open flows of targets that have ended; return them.
+        """Remove and return the open flows of targets that have ended.
 
-        A caller that hears of it before its next request opens another flow for
-        it at once, and loses nothing; one that sends it first can not send a
-        request that is not idempotent again.
+        A caller that learns of this before its next request can open a new flow
+        without losing anything. If the request is sent first, the caller cannot
+        retry it unless it is idempotent.
         """
         candidates = self.suspicion.suspected() | self._targets.gone()
         ended = {t for t in candidates if t.flows and self._ended(t, now)}
@@ -94,7 +96,7 @@
         return lost
 
     def expire(self, now: float) -> None:
-        """Forget what is over; to be called about once a second."""
+        """Drop expired state; to be called about once a second."""
         self.flows.expire(now, self._routes.idle_timeout_s)
         for key, first in list(self._unknown_flows.items()):
             if now - first > UNKNOWN_FLOW_TTL_S:
@@ -115,7 +117,7 @@
         if flow is None:
             return self._open(packet, route, now)
         if packet.copy == 0 and flow.is_open:
-            # The caller uses an old port again.
+            # The caller has reused a source port.
             self.flows.remove(packet.flow)
             return self._open(packet, route, now)
         if packet.copy and not flow.is_open:
@@ -199,10 +201,11 @@
         return flow.is_open and now - flow.seen_at < STICKY_FLOW_S
 
     def _unknown_cookie(self, packet: Packet, now: float) -> Decision:
-        """Reset a flow whose target is not on the list.
+        """Reset a flow whose cookie matches no known target.
 
-        It has ended, or has started too lately to be known here; which of both
-        shows when the caller sends again, and the list is newer than the flow.
+        The target has either ended, or started too recently to be known here. It
+        has ended if the caller retransmits and the target list is by then known
+        up to a time after the flow was first seen.
         """
         if not packet.size:
             return Drop(Reason.UNKNOWN_COOKIE)
@@ -226,8 +229,9 @@
         return Reset(Reason.UNKNOWN_COOKIE)
 
     def _note_packet(self, flow: Flow, packet: Packet, now: float) -> None:
-        """Learn from a packet whether the flow's target answers."""
-        # A close says nothing of the target, even as the first packet seen here.
+        """Update a flow's state and detect whether its target answers."""
+        # A closing packet proves nothing about the target, even if it is the first
+        # one seen here after the opening.
         first = not flow.is_open and not packet.is_last
         flow.is_open = True
         known = flow.last_ack >= 0
@@ -276,12 +280,12 @@
 
 
 def _always_false(now: float) -> bool:
-    """Stand in until the feeds are there."""
+    """Serve as the default until the feeds are attached."""
     return False
 
 
 def _minus_infinity(now: float) -> float:
-    """Stand in until the feeds are there."""
+    """Serve as the default until the feeds are attached."""
     return float("-inf")
 
 
--- a/kumquatshift/direct/suspicion.py
+++ b/kumquatshift/direct/suspicion.py
@@ -1,11 +1,12 @@
-"""Tell from callers' packets which targets have stopped to answer.
-
-An entry never sees an answer, but callers acknowledge what they get: a packet
-that acknowledges something new proves that its target answers. A packet that is
-sent again says the opposite. One flow alone may have lost a packet; a target is
-suspected when several flows have sent again in vain since its last sign of
-life, or one has done so for long. The load pattern: a target that goes silent
-under traffic while the platform still lists it, for three heartbeats or more.
+"""Passive failure detection: find unresponsive targets from callers' packets.
+
+An entry never sees a target's answers, but it sees callers acknowledge them: a
+packet that acknowledges new data proves that its target answers, and a
+retransmission suggests that it does not. A single flow may just have lost a
+packet, so a target is suspected only when several flows have retransmitted
+without progress since its last known answer, or one flow has done so repeatedly.
+This covers targets that stop responding under traffic while the platform still
+lists them, which lasts three heartbeats or more.
 """
 
 from __future__ import annotations
@@ -19,49 +20,50 @@
 if TYPE_CHECKING:
     from .events import EventSink
 
-# Callers send again after 200 ms at the earliest. Copies that come closer
-# together than this waited in our own queue and say nothing of the target.
+# Callers retransmit after 200 ms at the earliest. Copies closer together than
+# this were delayed in this entry's own queue and say nothing about the target.
 MIN_REPEAT_GAP_S = 0.15
 
-# Between two signs of life of a target under load there are tens of
-# milliseconds; this is above the wait in a full queue of a slow target.
+# A responsive target under load shows progress every few tens of milliseconds.
+# This threshold exceeds the queueing delay of a slow target with a full queue.
 SILENCE_THRESHOLD_S = 0.25
 
-# Repeats of several flows are no coincidence of lost packets.
+# Random packet loss is unlikely to stall several flows of one target at once.
 MIN_STALLED_FLOWS = 2
 
-# A caller's second copy comes 600 ms after the first packet. Flows of a living
-# target that lose two packets in a row are rare enough to be placed elsewhere.
+# A caller's second copy comes 600 ms after the first packet. Losing two packets
+# in a row is rare enough that moving such flows of a healthy target costs little.
 MIN_FLOW_REPEATS = 2
 
-# An open flow is given up only after this much silence of its whole target: a
-# reset at a target that lives would cut a request that may be running.
+# Open flows are reset only after their target has been silent for this long:
+# resetting flows of a live target could abort requests that it is processing.
 DEAD_AFTER_S = 0.6
 
-# A suspected target gets one new flow as a probe in this time. A dead one is off
-# the platform's list before the first, so that no caller waits for a copy.
+# A suspected target gets one new flow per interval as a probe. The platform
+# removes a dead target from the list before the first probe, so that no caller
+# has to wait for a retransmission.
 PROBE_INTERVAL_S = 2.5
 
-
-# Without an answer of any target for this long, while several are complained
-# of, the trouble is an entry's own.
+# If no target at all answers for this long while several have complaints, the
+# fault lies with this entry.
 OWN_OUTAGE_S = 0.4
 
-# Silences of so many other targets at the same time are no coincidence.
+# When this many other targets fall silent at the same time, a common cause such
+# as this entry's own link is likely.
 MIN_CONCURRENT_SILENCES = 2
 
-# Callers give up earlier.
+# Callers give up on a request earlier than this.
 COMPLAINT_TTL_S = 10.0
 
-# Other entries that hear of a suspicion and know better say so within this time.
+# Peers that still get answers refute a suspicion within this time.
 REFUTATION_WINDOW_S = 0.15
 
-# Heartbeats repeat an objection this long, in case the first one was lost.
+# Heartbeats repeat a refutation for this long, in case the first one was lost.
 REFUTATION_REPEAT_S = 1.2
 
 
 class Suspect(NamedTuple):
-    """A start of a target that has stopped to answer, as an entry tells it."""
+    """A target incarnation that has stopped answering, as reported by an entry."""
 
     name: str
     incarnation: int
@@ -70,7 +72,7 @@
 
 
 class Answering(NamedTuple):
-    """A start of a target that answers, though another entry suspects it."""
+    """A target incarnation that answers, although another entry suspects it."""
 
     name: str
     incarnation: int
@@ -78,7 +80,7 @@
 
 
 class Suspicion:
-    """Which targets have stopped to answer, as one entry sees it."""
+    """Tracks which targets one entry considers unresponsive."""
 
     def __init__(self, targets: TargetTable, events: EventSink):
         self._targets = targets
@@ -86,18 +88,18 @@
         self._last_answer_at = float("-inf")
         self._last_delivery_at = float("-inf")
         self._objections: dict[LiveTarget, float] = {}
-        # Both are small, however many targets there are.
+        # These hold only affected targets, so they stay small on large sites.
         self._suspected: set[LiveTarget] = set()
         self._complaint_times: dict[LiveTarget, float] = {}
 
     def forget(self, now: float) -> None:
-        """Drop targets that left the list long ago."""
+        """Drop targets that were unlisted longer than `GONE_TARGET_TTL_S` ago."""
         for target in list(self._suspected):
             if not target.listed and now - target.unlisted_at > GONE_TARGET_TTL_S:
                 self._suspected.discard(target)
 
     def note_answer(self, flow: Flow, now: float) -> None:
-        """Note that a flow's target has answered."""
+        """Record that a flow's target has answered."""
         flow.repeats = 0
         flow.is_stalled = False
         if now - self._last_answer_at > OWN_OUTAGE_S:
@@ -106,15 +108,15 @@
         self._trust(flow.target, now)
 
     def note_delivery(self, sent_at: float) -> None:
-        """Note that what was sent to some target at ``sent_at`` was answered.
+        """Record that a packet sent to some target at ``sent_at`` was answered.
 
-        It proves that packets of that time have left this entry's own link, on
-        which they wait their turn while a large transfer fills it.
+        This proves that packets sent by then have left this entry's own link,
+        where they queue while a large transfer saturates it.
         """
         self._last_delivery_at = max(self._last_delivery_at, sent_at)
 
     def note_repeat(self, flow: Flow, now: float) -> None:
-        """Note that a caller has sent a packet again, since nothing answered."""
+        """Record that a caller has retransmitted an unanswered packet."""
         if now - flow.sent_at < MIN_REPEAT_GAP_S:
             return
         if not flow.repeats:
@@ -122,7 +124,7 @@
         flow.repeats += 1
         target = flow.target
         if flow.stalled_since < target.progress_at - SILENCE_THRESHOLD_S:
-            # The target has answered others since: this flow alone is stuck.
+            # The target has answered other flows since; only this one is stalled.
             return
         if not flow.is_stalled:
             flow.is_stalled = True
@@ -134,24 +136,24 @@
             self._suspect(target, now, flows_stuck=target.complaints)
 
     def note_probe(self, target: LiveTarget, now: float) -> None:
-        """Note that a packet which asks for an answer is sent to a target."""
+        """Record that a packet which requires an answer is sent to a target."""
         if target.suspected and target.probe_sent_at <= self._concurrent_silence_at(
             target
         ):
             target.probe_sent_at = now
 
     def is_dead(self, target: LiveTarget, now: float) -> bool:
-        """Tell whether a target has been silent for so long that it is dead.
+        """Return whether a target has been silent long enough to be dead.
 
-        Its open flows are lost; callers do better to open others at once.
+        Its open flows are lost, and callers should open new ones at once.
         """
         if not target.suspected or now - target.suspected_at < REFUTATION_WINDOW_S:
             return False
         if not self._link_works_since(target.silent_since):
-            # The trouble may be our own.
+            # This entry's own link may be at fault.
             return False
         if not target.complaints and len(target.peer_complaints) < 2:
-            # One other entry alone may be in trouble of its own.
+            # A single peer may itself have a faulty link.
             return False
         complaints = target.complaints + sum(target.peer_complaints.values())
         if complaints < MIN_STALLED_FLOWS:
@@ -160,11 +162,11 @@
         return silent_s > DEAD_AFTER_S and self._is_probed(target, now)
 
     def suspected(self) -> set[LiveTarget]:
-        """Return the targets that are suspected at present."""
+        """Return the currently suspected targets."""
         return self._suspected
 
     def suspects(self, now: float) -> tuple[Suspect, ...]:
-        """Return the suspicions that rest on what this entry has seen."""
+        """Return the suspicions based on this entry's own observations."""
         return tuple(
             Suspect(t.name, t.incarnation, t.complaints, round(now - t.progress_at, 3))
             for t in self._suspected
@@ -172,7 +174,7 @@
         )
 
     def objections(self, now: float) -> tuple[Answering, ...]:
-        """Return the targets that others suspect, and that answer here."""
+        """Return the targets that peers suspect but that answer this entry."""
         for target, since in list(self._objections.items()):
             if now - since > REFUTATION_REPEAT_S or target.suspected:
                 del self._objections[target]
@@ -182,7 +184,7 @@
         )
 
     def hear_suspect(self, suspect: Suspect, source: str, now: float) -> None:
-        """Take over another entry's suspicion, or object to it."""
+        """Adopt a peer's suspicion, or refute it if the target answers here."""
         target = self._find(suspect.name, suspect.incarnation)
         if target is None:
             return
@@ -198,7 +200,7 @@
             self._suspect(target, now, source=source)
 
     def hear_answering(self, answering: Answering, now: float) -> None:
-        """Take in that a target answers another entry."""
+        """Process a peer's report that a target answers it."""
         target = self._find(answering.name, answering.incarnation)
         if target is None:
             return
@@ -207,14 +209,15 @@
             self._trust(target, max(answered_at, target.progress_at))
 
     def _link_works_since(self, silent_since: float) -> bool:
-        """Tell whether other targets got and answered what was sent later."""
+        """Return whether any target has answered packets sent since then."""
         return self._last_delivery_at >= silent_since + SILENCE_THRESHOLD_S
 
     def _is_probed(self, target: LiveTarget, now: float) -> bool:
-        """Tell whether a target has left a packet unanswered that did not get lost.
+        """Return whether a probe that is unlikely to be lost went unanswered.
 
-        A link that a transfer fills loses a part of what is sent, to any target.
-        A silence counts again once something was sent since others had one.
+        A saturated link drops some packets to every target. After several targets
+        were silent together, a silence counts only once a packet sent since then
+        has gone unanswered.
         """
         since = self._concurrent_silence_at(target)
         if since < target.silent_since:
@@ -225,7 +228,11 @@
         )
 
     def _concurrent_silence_at(self, target: LiveTarget) -> float:
-        """Return when several others last were complained of, or the only other."""
+        """Return when other targets last had concurrent complaints.
+
+        This needs `MIN_CONCURRENT_SILENCES` other targets, or the only other one
+        if there are just two targets.
+        """
         count = min(MIN_CONCURRENT_SILENCES, len(self._targets) - 1)
         times = [at for each, at in self._complaint_times.items() if each is not target]
         if count < 1 or len(times) < count:
@@ -233,7 +240,7 @@
         return times[-count]
 
     def _note_complaint(self, target: LiveTarget, now: float) -> None:
-        """Keep when targets were complained of, the latest last."""
+        """Record when targets got complaints, ordered from oldest to latest."""
         self._complaint_times.pop(target, None)
         self._complaint_times[target] = now
         for each, at in list(self._complaint_times.items()):
@@ -242,9 +249,9 @@
             del self._complaint_times[each]
 
     def _clear_own_outage(self) -> None:
-        """Drop what was held against targets while none of them answered.
+        """Clear complaints that were counted while no target answered.
 
-        Several at once do not fail by chance; the way to them did.
+        Several targets rarely fail at once; the path to them probably did.
         """
         affected = [target for target in self._complaint_times if target.complaints]
         if len(affected) < 2:
@@ -294,5 +301,5 @@
 
 
 def may_probe(target: LiveTarget, now: float) -> bool:
-    """Tell whether a suspected target may get a new flow that tries it out."""
+    """Return whether a suspected target may get a new flow as a probe."""
     return now >= target.next_probe_at
--- a/kumquatshift/direct/targets.py
+++ b/kumquatshift/direct/targets.py
@@ -1,4 +1,4 @@
-"""The targets that an entry knows, by name, by service and by cookie."""
+"""The targets known to an entry, indexed by name, service and cookie."""
 
 from __future__ import annotations
 
@@ -7,19 +7,18 @@
 
 import xxhash
 
-# Targets that have left the list keep their cookies this long, so that their
-# open flows can still be told: flows may live for a minute, and stay idle
-# for some more.
+# Cookies of unlisted targets are kept this long so that their open flows are
+# still recognised: flows may live for a minute, and then stay idle for a while.
 GONE_TARGET_TTL_S = 90.0
 
 
 class Report(NamedTuple):
-    """What one start of a target says of itself.
+    """State that one incarnation of a target reports about itself.
 
-    ``incarnation`` tells this start from earlier ones of the same name;
-    ``key`` are the bytes that address exactly this target in a datagram, and
-    ``warms_for_s`` is how much longer it stays cold. A target that drains
-    keeps its flows and gets no new ones.
+    ``incarnation`` differs for each start under the same name, ``key`` holds the
+    bytes that address this target in a datagram, and `warms_for_s` is its
+    remaining warm-up time. A draining target keeps its flows and gets no new
+    ones.
     """
 
     name: str
@@ -34,12 +33,14 @@
 
 
 class LiveTarget:
-    """One start of a target, and what this entry has seen of it.
-
-    ``progress_at`` is when a packet last proved that the target answers;
-    ``complaints`` counts flows that have sent again in vain since then, and
-    ``others_complaints`` those that other entries have told of. ``tried_at`` is
-    when a suspected target was last sent something after others had been silent.
+    """One incarnation of a target, and what this entry has observed of it.
+
+    `progress_at` is when a packet last proved that the target answers.
+    ``complaints`` counts flows that have retransmitted without progress since
+    then, and ``peer_complaints`` those that each peer has reported.
+    ``probe_sent_at`` is when a suspected target was first sent a packet that
+    requires an answer, after the latest concurrent silence of other targets.
+    ``waiting`` counts its flows with a request in progress.
     """
 
     __slots__ = (
@@ -90,7 +91,7 @@
         self.update(report, now)
 
     def update(self, report: Report, now: float) -> None:
-        """Take in a newer report of the same start."""
+        """Apply a newer report of the same incarnation."""
         self.address = report.address
         self.service = report.service
         self.domain = report.domain
@@ -101,11 +102,11 @@
         self.unlisted_at = now
 
     def cookie(self, destination: bytes) -> int:
-        """Return the cookie of this target's flows to ``place``; never 0.
+        """Return the cookie of this target's flows to ``destination``; never 0.
 
-        All entries work out the same cookie. A new start under an old name gets
-        another one, and so do flows to another place: a cookie names a target
-        only for the place for which an entry once chose it.
+        All entries compute the same cookie. It depends on the incarnation, and on
+        the destination: a cookie is valid only for the destination for which an
+        entry has chosen the target.
         """
         cookie = self.cookies.get(destination)
         if cookie is None:
@@ -115,12 +116,12 @@
         return cookie
 
     def is_cold(self, now: float) -> bool:
-        """Tell whether the target still warms up after its start."""
+        """Return whether the target is still warming up after its start."""
         return now < self.cold_until
 
 
 class TargetTable:
-    """All targets that are listed, and those that were until a while ago."""
+    """The listed targets, and those unlisted within `GONE_TARGET_TTL_S`."""
 
     def __init__(self):
         self._listed: dict[str, LiveTarget] = {}
@@ -138,7 +139,7 @@
         return iter(self._listed.values())
 
     def gone(self) -> set[LiveTarget]:
-        """Return the targets that are remembered and no longer listed."""
+        """Return the targets that are still remembered but no longer listed."""
         return self._gone
 
     def get(self, name: str) -> LiveTarget | None:
@@ -146,7 +147,7 @@
         return self._listed.get(name)
 
     def by_cookie(self, destination: bytes, cookie: int) -> LiveTarget | None:
-        """Return the target that a cookie names at a place, listed or remembered."""
+        """Return the listed or remembered target of a cookie at a destination."""
         targets = self._by_cookie.get(destination)
         if targets is None:
             targets = {t.cookie(destination): t for t in self._remembered.values()}
@@ -154,19 +155,19 @@
         return targets.get(cookie)
 
     def of_service(self, service: str) -> tuple[LiveTarget, ...]:
-        """Return the targets of a service, with those remembered as gone."""
+        """Return the targets of a service, including remembered unlisted ones."""
         if self._services_stale:
             self._index_services()
         return self._by_service.get(service, ())
 
     def of_domain(self, service: str, domain: str) -> tuple[LiveTarget, ...]:
-        """Return the targets of a service in one failure domain."""
+        """Return the targets of a service in one domain, unlisted ones included."""
         if self._services_stale:
             self._index_services()
         return self._by_domain.get((service, domain), ())
 
     def put(self, report: Report, now: float) -> LiveTarget:
-        """Take in what a target says of itself; return its state here."""
+        """Add or update a target from its report; return its state here."""
         start = (report.name, report.incarnation)
         known = self._remembered.get(start)
         if known is not None:
@@ -184,19 +185,19 @@
         return known
 
     def remove(self, name: str, now: float) -> LiveTarget | None:
-        """Take a target off the list; its cookie is remembered for a while."""
+        """Unlist a target; its cookie is remembered for `GONE_TARGET_TTL_S`."""
         target = self._listed.pop(name, None)
         if target is not None:
             self._unlist(target, now)
         return target
 
     def retain(self, names: Iterable[str], now: float) -> list[LiveTarget]:
-        """Remove all targets but these; return those removed."""
+        """Unlist all targets except these; return the unlisted ones."""
         gone = self._listed.keys() - set(names)
         return [self.remove(name, now) for name in gone]
 
     def forget(self, now: float) -> None:
-        """Drop the cookies of targets that have been gone for long."""
+        """Drop targets that were unlisted longer than `GONE_TARGET_TTL_S` ago."""
         for start, target in list(self._remembered.items()):
             if not target.listed and now - target.unlisted_at > GONE_TARGET_TTL_S:
                 del self._remembered[start]
--- a/kumquatshift/direct/warmup.py
+++ b/kumquatshift/direct/warmup.py
@@ -1,10 +1,10 @@
-"""What targets that have just started may get, over all entries together.
+"""Rate limit for new flows to targets that are warming up.
 
-A cold target bears a few new flows a second. Entries do not ask each other
-before each flow; each takes its part of what the target bears, counted for the
-entries of the target's own failure domain, since others leave cold targets
-alone. The load pattern: a domain that comes back, or a rolling release, while
-every entry sees a target without flows.
+A cold target can take only a few new flows per second. Entries do not coordinate
+per flow; each uses an equal share of the target's limit, divided among the
+entries in the target's failure domain, since entries elsewhere do not use cold
+targets. This prevents overload when a domain returns or during a rolling release,
+when every entry sees targets without any flows.
 """
 
 from __future__ import annotations
@@ -13,22 +13,22 @@
 
 from .targets import LiveTarget
 
-# Packets may be delayed into the same second as later ones; their way takes a
-# few milliseconds.
+# Network delay of a few milliseconds may shift packets into the same second as
+# later ones, so flows are spaced slightly wider than the limit requires.
 SPACING_FACTOR = 1.1
 
-# Until an entry has heard the others of its domain it takes them to be three,
-# the size of small domains.
+# Number of entries assumed in a domain until heartbeats have arrived: three, the
+# size of small domains.
 UNSETTLED_ENTRIES = 3
 
-# An entry that may not use cold targets at all asks again after this time.
+# Delay before an entry without any quota for cold targets checks again.
 UNUSABLE_RETRY_S = 3600.0
 
 
 class WarmupBounds(NamedTuple):
-    """What a cold target may get in one second.
+    """Limit on new flows to a cold target in any one second.
 
-    At most its own rate times ``burst_factor`` and ``slack`` flows more.
+    The limit is the target's own rate times ``burst_factor``, plus ``slack``.
     """
 
     burst_factor: float
@@ -36,11 +36,11 @@
 
 
 class Warmup:
-    """Hands out this entry's part of what cold targets bear.
+    """Enforces this entry's share of the limits of cold targets.
 
-    ``entries`` is how many entries the failure domain has, and ``rank`` the
-    place of this one among them, from 0. Where a target bears fewer flows than
-    there are entries, only the first ones use it.
+    ``entries`` is the number of entries in the failure domain, and ``rank`` the
+    index of this one among them, from 0. If a target's limit is lower than the
+    number of entries, only the first ones use it.
     """
 
     def __init__(self, bounds: WarmupBounds, domain: str):
@@ -50,19 +50,19 @@
         self.rank = 0
 
     def admits(self, target: LiveTarget, flows_per_s: float, now: float) -> bool:
-        """Tell whether a cold target may get a flow from this entry now."""
+        """Return whether this entry may send a new flow to a cold target now."""
         if target.domain != self._domain or now < target.next_cold_flow:
             return False
         return self._quota(flows_per_s) > 0
 
     def note_flow(self, target: LiveTarget, flows_per_s: float, now: float) -> None:
-        """Note a new flow at a cold target that bears ``flows_per_s``."""
+        """Record a new flow at a cold target with the rate ``flows_per_s``."""
         quota = self._quota(flows_per_s)
         gap_s = SPACING_FACTOR / quota if quota else UNUSABLE_RETRY_S
         target.next_cold_flow = now + gap_s
 
     def _quota(self, flows_per_s: float) -> int:
-        """Return how many flows this entry may send in any second."""
+        """Return how many new flows this entry may send in any second."""
         capacity = int(flows_per_s * self._bounds.burst_factor + self._bounds.slack)
         quota = capacity // self.entries
         if quota == 0 and self.rank < capacity:
