--- a/kumquatshift/direct/calls.py
+++ b/kumquatshift/direct/calls.py
@@ -1,4 +1,4 @@
-"""Calls to the store and to other entries, and what comes of them."""
+"""Calls to the store and to peers, and their results."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class ListCall(NamedTuple):
-    """Read a page of objects, those with names after ``after``."""
+    """Request a page of objects with names after ``after``."""
 
     kind: str
     after: str
@@ -14,7 +14,7 @@
 
 
 class WatchCall(NamedTuple):
-    """Wait for changes after ``revision``, for ``wait_s`` at most."""
+    """Request changes after ``revision``, waiting ``wait_s`` at most."""
 
     kind: str
     revision: int
@@ -23,7 +23,7 @@
 
 
 class NewsCall(NamedTuple):
-    """Ask another entry for what it knows beyond ``since``; -1 for all."""
+    """Request a peer's changes after revision ``since``; -1 for all objects."""
 
     kind: str
     address: tuple[str, int]
@@ -32,7 +32,7 @@
 
 
 class Item(NamedTuple):
-    """One object as the store has it; ``value`` is what the adapter decoded."""
+    """One object of the store; ``value`` is its content decoded by the adapter."""
 
     name: str
     revision: int
@@ -40,7 +40,7 @@
 
 
 class Page(NamedTuple):
-    """A part of a list; ``revision`` is the store's when it was read."""
+    """One page of a list; ``revision`` is the store's revision when it was read."""
 
     items: tuple[Item, ...]
     has_more: bool
@@ -48,25 +48,25 @@
 
 
 class Change(NamedTuple):
-    """One object that was written, or deleted."""
+    """One object that was written or deleted."""
 
     item: Item
     is_deleted: bool
 
 
 class Changes(NamedTuple):
-    """What has happened up to ``revision``."""
+    """All changes up to ``revision`` since the one requested."""
 
     changes: tuple[Change, ...]
     revision: int
 
 
 class Tick(NamedTuple):
-    """How far an entry's knowledge of one kind of object goes.
+    """Synchronisation status of an entry for one kind of object.
 
-    All changes up to ``revision`` are known; the last one came with
-    ``changed``, and those after ``since`` can be told one by one. ``age_s`` is
-    how long ago the store last confirmed that.
+    All changes up to ``revision`` are known. ``changed`` is the revision of the
+    last change, and ``since`` the one after which the history is complete.
+    ``age_s`` is how long ago the store last confirmed this state.
     """
 
     kind: str
@@ -78,7 +78,7 @@
 
 
 class NewsAnswer(NamedTuple):
-    """What another entry knows: all items, or the changes asked for."""
+    """Response of a peer: all items, or the requested changes."""
 
     is_whole: bool
     items: tuple[Item, ...]
@@ -87,7 +87,7 @@
 
 
 class Failure:
-    """Why a call brought nothing: the closed list."""
+    """All reasons why a call can fail."""
 
     EXPIRED = "history gone"
     OVERLOADED = "too many calls"
--- a/kumquatshift/direct/events.py
+++ b/kumquatshift/direct/events.py
@@ -1,6 +1,6 @@
-"""What an entry tells of its decisions: the closed list of events.
+"""All events that an entry logs.
 
-Each is one line of the log; `docs/OPERATIONS.md` says how to read them.
+Each event is one line of the log; `docs/OPERATIONS.md` explains them.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 
 
 class EventSink(Protocol):
-    """Where decisions are told."""
+    """Receives events, normally to log them."""
 
     def emit(self, event: Event, **inputs: object) -> None:
-        """Tell one decision with the inputs that led to it; never blocks."""
+        """Record an event with the inputs of its decision; must not block."""
         ...
 
 
 class Event(Enum):
-    """Everything that is told."""
+    """An event; the value is its name in the log."""
 
     STARTED = "started"
     READY = "ready"
--- a/kumquatshift/direct/lifecycle.py
+++ b/kumquatshift/direct/lifecycle.py
@@ -1,23 +1,25 @@
-"""When an entry is ready, and when one that was told to stop may end.
+"""Graceful shutdown of an entry.
 
-An entry that stops tells so at once, and goes on forwarding: the fabric sends
-it packets until two checks have missed, and flows must not notice.
+An entry that is stopping fails its readiness checks at once but keeps forwarding:
+the fabric sends it packets until two checks have failed, and flows must not be
+disrupted.
 """
 
 from __future__ import annotations
 
-# The fabric checks twice a second and takes an entry out after two misses.
+# The fabric checks readiness twice a second and takes an entry out of rotation
+# after two failed checks.
 OUT_OF_ROTATION_S = 1.6
 
-# No packet for this long after that: the fabric has taken the entry out.
+# If no packet arrives for this long after that, the entry is out of rotation.
 QUIET_S = 0.3
 
-# Kept back from the time that the platform grants for stopping.
+# Safety margin within the time that the platform allows for stopping.
 STOP_MARGIN_S = 1.0
 
 
 class Lifecycle:
-    """Start, readiness and stop of one entry."""
+    """Tracks the shutdown of one entry."""
 
     def __init__(self, stop_s: float):
         self._longest_stop_s = max(0.0, stop_s - STOP_MARGIN_S)
@@ -25,16 +27,16 @@
 
     @property
     def is_stopping(self) -> bool:
-        """Whether the entry was told to stop."""
+        """Whether shutdown has begun."""
         return self._stopping_since is not None
 
     def begin_stop(self, now: float) -> None:
-        """Note that the entry was told to stop."""
+        """Begin the shutdown."""
         if self._stopping_since is None:
             self._stopping_since = now
 
     def may_end(self, last_packet_at: float, now: float) -> bool:
-        """Tell whether the entry may end without a packet lost."""
+        """Return whether the entry may exit, without packet loss if time allows."""
         if self._stopping_since is None:
             return False
         stopping_s = now - self._stopping_since
--- a/kumquatshift/direct/packets.py
+++ b/kumquatshift/direct/packets.py
@@ -1,4 +1,4 @@
-"""One packet from a caller, decoded, and what can be decided about it."""
+"""Decoded packets from callers, and the possible decisions about them."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class Packet(NamedTuple):
-    """The header fields of a packet that decisions need.
+    """The header fields of a packet that decisions are based on.
 
-    ``flow`` tells the flow from all others; ``place`` is the address and port
-    that the caller asked for. ``cookie`` is 0 on an opening packet. ``copy``
-    counts the copies of an opening packet that were sent before this one.
+    ``flow`` uniquely identifies the flow; ``destination`` is the address and port
+    that the caller connects to. ``cookie`` is 0 on an opening packet. ``copy`` is
+    the number of copies of an opening packet sent before this one.
     """
 
     flow: bytes
@@ -28,12 +28,12 @@
 
     @property
     def copy(self) -> int:
-        """Which copy of the opening packet this is, 0 for the first."""
+        """Retransmission number of an opening packet, 0 for the original."""
         return self.ack if self.is_syn else 0
 
 
 class Reason(Enum):
-    """Why a packet was not forwarded, or its flow was refused or reset."""
+    """Why a packet was dropped, or its flow was refused or reset."""
 
     MALFORMED = "malformed"
     FORGED = "forged"
@@ -47,25 +47,25 @@
 
 
 class Forward(NamedTuple):
-    """Send the packet on to ``target``, with its cookie."""
+    """Forward the packet to ``target``, with its cookie."""
 
     target: LiveTarget
 
 
 class Reset(NamedTuple):
-    """Tell the caller at once that the flow is over, or never opened."""
+    """Send the caller a reset, since the flow has ended or cannot be opened."""
 
     reason: Reason
 
 
 class Drop(NamedTuple):
-    """Say nothing: the caller sends its packet again."""
+    """Drop the packet silently; the caller will retransmit it."""
 
     reason: Reason
 
 
 class LostFlow(NamedTuple):
-    """An open flow whose target has ended; ``ack`` is its caller's last one."""
+    """An open flow whose target has ended; ``ack`` is the caller's last one."""
 
     flow: bytes
     ack: int
--- a/kumquatshift/direct/routes.py
+++ b/kumquatshift/direct/routes.py
@@ -1,4 +1,4 @@
-"""Routes in force: which service takes the flows to an address and port."""
+"""Active routes: which service handles flows to a destination."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Share(NamedTuple):
-    """A service, and its weight among those of one route."""
+    """A service and its weight in a route."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """Where new flows to ``place``, an address and port, are sent.
+    """Assigns new flows to ``destination``, an address and port, to services.
 
     ``priority`` 0 is the most urgent.
     """
@@ -27,10 +27,10 @@
 
 
 class ServiceLimits(NamedTuple):
-    """What targets of a service bear.
+    """Load limits of a service's targets.
 
-    A cold one takes ``cold_flows_per_s`` new flows, and each at most
-    ``max_flows`` at a time.
+    A cold target takes ``cold_flows_per_s`` new flows per second, and each target
+    has at most ``max_flows`` flows at a time.
     """
 
     service: str
@@ -42,7 +42,7 @@
 
 
 class Configuration(NamedTuple):
-    """One whole configuration; ``version`` grows with each change."""
+    """A complete configuration; ``version`` increases with each change."""
 
     version: int
     routes: tuple[Route, ...]
@@ -51,7 +51,7 @@
 
 
 class RouteTable:
-    """The configuration in force; an older version never replaces a newer one."""
+    """The active configuration; an older version never replaces a newer one."""
 
     def __init__(self):
         self.version = -1
@@ -63,7 +63,7 @@
         return len(self._routes)
 
     def put(self, cfg: Configuration) -> bool:
-        """Put a configuration in force; False if it is not newer."""
+        """Activate a configuration; return False if it is not newer."""
         if cfg.version <= self.version:
             return False
         self.version = cfg.version
@@ -77,14 +77,14 @@
         return self._routes.get(destination)
 
     def limits(self, service: str) -> ServiceLimits:
-        """Return what targets of a service bear, as far as it was told."""
+        """Return the limits of a service's targets, `NO_LIMITS` if unknown."""
         return self._limits.get(service, NO_LIMITS)
 
 
 def share_of(route: Route, flow: bytes) -> str:
-    """Return the service of a new flow, by the weights of its route.
+    """Return the service for a new flow, chosen by the weights of its route.
 
-    It depends on the flow and the route alone, so that all entries agree::
+    The choice depends only on the flow and the route, so all entries agree::
 
         service = share_of(route, packet.flow)
     """
--- a/kumquatshift/direct/settings.py
+++ b/kumquatshift/direct/settings.py
@@ -1,7 +1,7 @@
-"""Settings of an entry with direct return, read from one INI file.
+"""Settings of an entry with direct server return, read from one INI file.
 
-The file is read when the process starts and whenever it has changed. Reading
-imports little, since an entry that starts after a power loss is waited for.
+The file is read at startup and whenever it changes. This module imports little
+to keep startup fast, since callers wait for entries after a power loss.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class SettingsError(Exception):
-    """The file can not be used; ``problems`` names every mistake in it."""
+    """The settings file is invalid; ``problems`` lists every error in it."""
 
     def __init__(self, problems: list[str]):
         super().__init__("; ".join(problems))
@@ -28,7 +28,7 @@
 
 
 class Bounds(NamedTuple):
-    """Within which times a change has to be in force; all in seconds."""
+    """Deadlines within which changes must take effect, in seconds, and limits."""
 
     stable_window_s: float
     drain_s: float
@@ -39,7 +39,7 @@
 
 
 class DirectSettings(NamedTuple):
-    """Everything that an entry is told from outside."""
+    """All settings of an entry."""
 
     name: str
     domain: str
@@ -56,7 +56,7 @@
     def load(cls, path: str) -> DirectSettings:
         """Read the file at ``path``.
 
-        Raises `SettingsError` with all mistakes if it can not be used.
+        Raises `SettingsError` with all errors if it is invalid.
         """
         parser = ConfigParser(interpolation=None)
         try:
@@ -68,7 +68,7 @@
 
     @classmethod
     def from_parser(cls, parser: ConfigParser) -> DirectSettings:
-        """Take the settings from sections that were read already."""
+        """Build the settings from a parsed file."""
         reader = _Reader(parser)
         settings = cls(
             name=reader.read("entry", "name", _text),
@@ -98,7 +98,7 @@
 
 
 class _Reader:
-    """Reads single keys, and gathers what is wrong with them."""
+    """Reads single keys and collects their errors."""
 
     def __init__(self, parser: ConfigParser):
         self.problems: list[str] = []
@@ -107,7 +107,7 @@
     def read(self, section: str, key: str, convert: Callable):
         text = self._parser.get(section, key, fallback=None)
         if text is None:
-            self.problems.append(f"[{section}] {key}: missing; add it")
+            self.problems.append(f"[{section}] {key}: missing (required)")
             return None
         try:
             return convert(text)
@@ -118,7 +118,7 @@
 
 def _text(text: str) -> str:
     if not text:
-        raise ValueError("a name")
+        raise ValueError("a non-empty name")
     return text
 
 
@@ -128,20 +128,20 @@
     except ValueError:
         number = -1.0
     if not 0 <= number < float("inf"):
-        raise ValueError("a number from 0 up")
+        raise ValueError("a number of at least 0")
     return number
 
 
 def _seconds(text: str) -> float:
-    """Read milliseconds."""
+    """Convert milliseconds to seconds."""
     return _number(text) / 1000
 
 
 def _link_rate(text: str) -> float:
-    """Read megabits a second as bytes a second."""
+    """Convert megabits per second to bytes per second."""
     number = _number(text)
     if not number:
-        raise ValueError("a number above 0")
+        raise ValueError("a number greater than 0")
     return number * BYTES_PER_MEGABIT
 
 
--- a/kumquatshift/direct/site.py
+++ b/kumquatshift/direct/site.py
@@ -1,7 +1,7 @@
-"""What an entry knows of its site: routes, targets and evacuated domains.
+"""State of the site as known to an entry: routes, targets, evacuated domains.
 
-News comes from the platform's store or from peers, in any order; what is in
-force never goes back to something older.
+Updates arrive from the platform's store or from peers in any order; a newer
+configuration is never replaced by an older one.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class Site:
-    """The state that decisions about flows go by."""
+    """The state on which decisions about flows are based."""
 
     def __init__(self, placement: Placement, events: EventSink):
         self.routes = RouteTable()
@@ -32,12 +32,12 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether everything that decisions need has been learnt once."""
+        """Whether routes, targets and evacuations have all been received."""
         known = self._has_configuration and self._has_targets
         return known and self._has_evacuations
 
     def put_configuration(self, cfg: Configuration, source: str) -> None:
-        """Put a configuration in force, unless it is not newer."""
+        """Activate a configuration if it is newer than the active one."""
         self._has_configuration = True
         if self.routes.put(cfg):
             self._events.emit(
@@ -48,7 +48,7 @@
             )
 
     def list_targets(self, reports: Iterable[Report], now: float) -> None:
-        """Take in the whole list; those missing from it have left."""
+        """Replace the list of targets; targets missing from it are removed."""
         self._has_targets = True
         names = set()
         for report in reports:
@@ -58,7 +58,7 @@
             self._log_gone(target, now)
 
     def put_target(self, report: Report, now: float) -> None:
-        """Take in what one target says of itself."""
+        """Add or update one target from its report."""
         known = self.targets.get(report.name)
         was_draining = known is not None and known.draining
         target = self.targets.put(report, now)
@@ -77,13 +77,13 @@
             )
 
     def remove_target(self, name: str, now: float) -> None:
-        """Take a target off the list."""
+        """Remove a target from the list."""
         target = self.targets.remove(name, now)
         if target is not None:
             self._log_gone(target, now)
 
     def list_evacuations(self, domains: Iterable[str]) -> None:
-        """Take in the whole list of domains that get nothing new."""
+        """Replace the list of evacuated domains, which get no new flows."""
         self._has_evacuations = True
         domains = frozenset(domains)
         for domain in domains - self.placement.evacuated:
@@ -93,17 +93,17 @@
         self.placement.evacuated = domains
 
     def evacuate(self, domain: str) -> None:
-        """Send nothing new to a domain."""
+        """Stop sending new flows to a domain."""
         self.list_evacuations(self.placement.evacuated | {domain})
 
     def restore_domain(self, domain: str) -> None:
-        """Use a domain again."""
+        """Resume sending new flows to a domain."""
         self.list_evacuations(self.placement.evacuated - {domain})
 
     def note_relisting(self, now: float) -> None:
-        """Note that the list of targets was out of reach until now.
+        """Record that the list of targets was unreachable until now.
 
-        Living targets may be missing from it until they have reported again.
+        Live targets may be missing from it until they have reported again.
         """
         self.placement.relisting_since = now
 
--- a/kumquatshift/platform/__init__.py
+++ b/kumquatshift/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Translates between the users' platform and the product.
+"""Adapters between the users' platform and the load balancer.
 
-Names and layouts of the platform's wire stand here and nowhere else.
+Field names and packet layouts of the platform are defined only in this package.
 """
--- a/kumquatshift/platform/entry.py
+++ b/kumquatshift/platform/entry.py
@@ -1,4 +1,4 @@
-"""The entry as it runs on the users' platform: everything put together."""
+"""Entry process for the users' platform: wires all components together."""
 
 from __future__ import annotations
 
@@ -30,29 +30,31 @@
     from ..adapters.entry_metrics import EntryMetrics
     from ..adapters.neighbours import Neighbours
 
-# What came while the process started is forwarded first.
+# Delay before contacting peers, so that packets queued during startup are forwarded
+# first.
 PEERING_DELAY_S = 0.2
 
-# An entry that the store does not answer needs the others.
+# Peers are contacted after this time at the latest, since an entry that cannot
+# reach the store depends on them.
 PEERING_DEADLINE_S = 1.0
 
 READY_PATH = b"/api/ready"
 METRICS_PATH = b"/metrics"
 DUMP_PATH = b"/dump"
 
-# Delays of the loop kept until they are next asked for, one a second.
+# Event loop delay samples kept until metrics are next collected, one per second.
 MAX_DELAY_SAMPLES = 600
 
 SWEEP_INTERVAL_S = 1.0
 
-# How often targets that have ended are looked for: callers of resting flows
-# send their next request within a second or so.
+# How often flows of ended targets are reset. Callers of idle flows send their next
+# request within about a second, and should get the reset before that.
 LOST_FLOWS_INTERVAL_S = 0.1
 STOP_CHECK_INTERVAL_S = 0.1
 
 
 class Entry:
-    """One entry, from its settings to its sockets."""
+    """One entry with all its components, from settings to sockets."""
 
     def __init__(
         self,
@@ -87,7 +89,7 @@
         self._accepts_packets = False
 
     def start(self) -> None:
-        """Open all ports and begin to read the store."""
+        """Open all ports and start reading the store."""
         pages = {
             READY_PATH: self._ready_page,
             METRICS_PATH: lambda query: PageAnswer(
@@ -127,7 +129,7 @@
         self._steering.knows_all_routes = lambda now: config.is_current
 
     def _start_peering(self) -> None:
-        """Begin to speak with the other entries; forwarding goes before."""
+        """Start exchanging heartbeats with peers, and read updates from them."""
         if self._peering is None:
             from .meeting import start_peering  # noqa: PLC0415 (not needed to forward)
 
@@ -143,7 +145,7 @@
         self._peering.follow(self._feeds, self._readers, self._pace)
 
     def _announce_update(self) -> None:
-        """Tell the others, and take packets once something is known to go by."""
+        """Announce new revisions to peers; accept packets once the site is known."""
         if self._peering is not None:
             self._peering.check()
         if self._site.is_known and not self._accepts_packets:
@@ -159,7 +161,7 @@
         return PageAnswer(200 if ready else 503)
 
     def _load_metrics(self) -> EntryMetrics:
-        """Return what shows metrics and state; what that takes is imported now."""
+        """Return metrics and dump pages; imports their dependencies on first use."""
         if self._metrics is None:
             from ..adapters import entry_metrics  # noqa: PLC0415 (see its module)
 
@@ -255,7 +257,7 @@
 
 
 def run(settings: DirectSettings, settings_path: str, sock: socket.socket) -> None:
-    """Run an entry on the socket that its packets come to, until it is stopped."""
+    """Run an entry on its open packet socket until it is stopped."""
     reactor = EpollReactor()
     Entry(settings, settings_path, sock, reactor).start()
     gc.freeze()
@@ -264,14 +266,14 @@
 
 
 def _drain(times: deque[float]) -> list[float]:
-    """Hand over the times that have gathered."""
+    """Return the collected samples and clear them."""
     samples = list(times)
     times.clear()
     return samples
 
 
 def _file_version(path: str) -> tuple[float, int]:
-    """Return what tells one state of a file from another."""
+    """Return the modification time and size, to detect changes of a file."""
     try:
         status = os.stat(path)
     except OSError:
--- a/kumquatshift/platform/journal.py
+++ b/kumquatshift/platform/journal.py
@@ -1,4 +1,4 @@
-"""The journal of the users' bench and its site files, decoded for reports."""
+"""Decoding of the users' benchmark journal and site files, for reports."""
 
 import json
 import tomllib
@@ -7,13 +7,13 @@
 
 STANDARD_SLOTS = ("quiet", "trouble", "scale")
 
-#: The bench's names of the final faults that end every entry at once.
+#: Kinds of the benchmark's closing fault that stop all entries at once.
 RESTART_FAULTS = ("power_off_all", "kill_all")
 
 
 @dataclass(frozen=True)
 class Price:
-    """One price of a day: ``cost`` was taken off its worth."""
+    """One deduction from the worth of a day."""
 
     name: str
     cost: float
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class DayResult:
-    """How one day of one run went."""
+    """Result of one day of a benchmark run."""
 
     name: str
     worth: float
@@ -30,10 +30,10 @@
 
     @classmethod
     def from_entry(cls, entry: dict) -> "DayResult":
-        """Decode a day of a journal entry."""
+        """Decode one day of a journal entry."""
         return cls(
             name=entry["name"],
-            worth=float(entry["G"]),  # After prices, before the bench's marks.
+            worth=float(entry["G"]),  # After prices, before marks are applied.
             broken=tuple(sorted(entry["rules"] or ())),
             prices=tuple(Price(name, cost) for name, _, cost in entry["prices"]),
         )
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class Score:
-    """One play of a site's standard days."""
+    """Results of one benchmark run of a site's standard days."""
 
     at: str
     commit: str
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class Demand:
-    """One kind of request, as far as an outage matters to it; times in seconds."""
+    """One class of requests, with what an outage costs it; times in seconds."""
 
     share: float
     aim_s: float
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True)
 class SiteDay:
-    """A standard day: how long all entries are down at its end, 0 for not at all."""
+    """A standard day; ``down_s`` is how long all entries are down at its end, 0 if not."""
 
     name: str
     length_s: float
@@ -83,7 +83,7 @@
 
 
 def scores_in(folder: Path) -> list[Score]:
-    """Return all plays of standard days in a journal, the oldest first."""
+    """Return all runs of standard days in a journal, oldest first."""
     found = []
     for path in sorted(folder.glob("*.json")):
         entry = json.loads(path.read_text(encoding="utf-8"))
@@ -93,7 +93,7 @@
 
 
 def site_days(path: Path) -> tuple[tuple[SiteDay, ...], tuple[Demand, ...]]:
-    """Read a site file's standard days and its kinds of requests."""
+    """Read the standard days and the request classes from a site file."""
     site = tomllib.loads(path.read_text(encoding="utf-8"))
     days = []
     for day in site["day"]:
@@ -119,7 +119,7 @@
             aim_s=kind["aim_ms"] / 1000,
             deadline_s=kind["deadline_ms"] / 1000,
             late_credit=kind["late_worth"] / kind["worth"],
-            # Its callers open a flow for each request; the others keep theirs.
+            # These callers open a flow per request; others reuse their flows.
             opens_flow=kind.get("habit") == "fresh",
         )
         for kind in site["classes"]
--- a/kumquatshift/platform/meeting.py
+++ b/kumquatshift/platform/meeting.py
@@ -1,4 +1,4 @@
-"""The other entries of the site, put together once packets are forwarded."""
+"""Set-up of communication with peers, deferred until packets are forwarded."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
     lifecycle: Lifecycle,
     events: EventSink,
 ) -> Neighbours:
-    """Open the port to other entries and begin to speak with them."""
+    """Open the peer port and start exchanging heartbeats."""
     me = Member(settings.name, settings.domain, settings.peers)
     members = Members(me, settings.seeds, events)
     peering = Neighbours(
--- a/kumquatshift/platform/objects.py
+++ b/kumquatshift/platform/objects.py
@@ -1,4 +1,4 @@
-"""The store's objects, decoded into the product's types."""
+"""Decoding of the store's objects into the types of `kumquatshift.direct`."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 TARGETS = "servers"
 EVACUATIONS = "evacuations"
 
-# The one object of its kind that is the configuration.
+# Name of the object that holds the configuration; others of its kind are ignored.
 CONFIGURATION_NAME = "main"
 
 DRAINING_BY_STATE = {"ready": False, "draining": True}
 
 
 class UnreadableError(ValueError):
-    """An object or an answer is not what the platform's pages say."""
+    """An object or response does not conform to the platform's API."""
 
 
 def page_from(body: bytes) -> Page:
-    """Decode a page of a list; raises `UnreadableError`."""
+    """Decode one page of a list; raises `UnreadableError`."""
     try:
         answer = json.loads(body)
         items = tuple(_item(each) for each in answer["items"])
         return Page(items, bool(answer.get("more")), int(answer["currentRev"]))
     except (ValueError, TypeError, KeyError, AttributeError) as exc:
-        raise UnreadableError(f"a list: {exc!r}") from exc
+        raise UnreadableError(f"invalid list response: {exc!r}") from exc
 
 
 def changes_from(body: bytes) -> Changes:
-    """Decode what a watch brought; raises `UnreadableError`."""
+    """Decode the response to a watch; raises `UnreadableError`."""
     try:
         answer = json.loads(body)
         changes = tuple(
@@ -44,11 +44,11 @@
         )
         return Changes(changes, int(answer["currentRev"]))
     except (ValueError, TypeError, KeyError, AttributeError) as exc:
-        raise UnreadableError(f"changes: {exc!r}") from exc
+        raise UnreadableError(f"invalid watch response: {exc!r}") from exc
 
 
 def configuration_from(spec: object) -> Configuration:
-    """Decode a whole configuration; raises `UnreadableError`."""
+    """Decode a configuration; raises `UnreadableError`."""
     try:
         return Configuration(
             version=int(spec["version"]),
@@ -57,15 +57,15 @@
             limits=tuple(_limits(each) for each in spec.get("services", ())),
         )
     except (ValueError, TypeError, KeyError, AttributeError, OSError) as exc:
-        raise UnreadableError(f"a configuration: {exc!r}") from exc
+        raise UnreadableError(f"invalid configuration: {exc!r}") from exc
 
 
 def report_from(name: str, spec: object) -> Report:
-    """Decode what a target says of itself; raises `UnreadableError`."""
+    """Decode the report of a target; raises `UnreadableError`."""
     try:
         host, _, port = spec["address"].rpartition(":")
         socket.inet_aton(host)
-        # How much longer it is slow, not how long it has been warm.
+        # Remaining warm-up time, not the time since the start.
         warms_for_ms = _within(spec.get("warmupLeftMs", 0), 0, 3_600_000)
         return Report(
             name=name,
@@ -79,9 +79,9 @@
             warms_for_s=warms_for_ms / 1000,
         )
     except (ValueError, TypeError, KeyError, AttributeError, OSError) as exc:
-        raise UnreadableError(f"target {name!r}: {exc!r}") from exc
+        raise UnreadableError(f"invalid target {name!r}: {exc!r}") from exc
     except OverflowError as exc:
-        raise UnreadableError(f"target {name!r}: its name is too long") from exc
+        raise UnreadableError(f"invalid target {name!r}: name too long") from exc
 
 
 def _item(wire: dict) -> Item:
@@ -90,7 +90,7 @@
 
 
 def _route(wire: dict) -> Route:
-    # The path prefix holds no path but the port, between slashes.
+    # Despite its name, the path prefix holds the port between slashes.
     port = int(wire["pathPrefix"].strip("/"))
     split = wire.get("trafficSplit") or [{"service": wire["service"], "weight": 1}]
     shares = tuple(Share(_text(s["service"]), float(s["weight"])) for s in split)
@@ -106,13 +106,13 @@
 
 def _text(value: object) -> str:
     if not isinstance(value, str) or not value:
-        raise ValueError(f"{value!r} is no name")
+        raise ValueError(f"expected a non-empty string, found {value!r}")
     return value
 
 
 def _within(value: object, low: int, high: int) -> int:
     if isinstance(value, bool) or not isinstance(value, (int, float)):
-        raise ValueError(f"{value!r} is no number")
+        raise ValueError(f"expected a number, found {value!r}")
     if not low <= value <= high:
-        raise ValueError(f"{value!r} is not from {low} to {high}")
+        raise ValueError(f"expected {low} to {high}, found {value!r}")
     return value
--- a/kumquatshift/platform/packets.py
+++ b/kumquatshift/platform/packets.py
@@ -1,4 +1,4 @@
-"""The platform's packet head, read and written."""
+"""Encoding and decoding of the platform's packet header."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def decode(data: bytes) -> Packet | None:
-    """Return the packet in a datagram, or None if it is none."""
+    """Decode the packet in a datagram; return None if it is malformed."""
     if len(data) < HEAD_BYTES:
         return None
     _sum, flags, _pad, _dport, _src, _sport, _dst, echo, size, seq, ack = (
@@ -39,38 +39,38 @@
         is_syn=bool(flags & SYN),
         is_last=bool(flags & (FIN | RST)),
         has_ack=bool(flags & ACK),
-        cookie=echo,  # What the target was sent, and gave the caller back.
+        cookie=echo,  # Set by an entry, and returned by target and caller.
         seq=seq,
-        ack=ack,  # On an opening packet: how many copies went before it.
+        ack=ack,  # On an opening packet: number of earlier copies.
         size=size,
     )
 
 
 def forwarded(data: bytes, key: bytes, cookie: int) -> bytes:
-    """Return the datagram for a target: its key, and the packet with a cookie."""
+    """Return the datagram for a target: its key and the packet with the cookie."""
     head, rest = data[:_COOKIE_OFFSET], data[_AFTER_COOKIE:]
     return key + head + _COOKIE.pack(cookie) + rest
 
 
 def reset(flow: bytes, seq: int) -> bytes:
-    """Return the reset of a flow; ``seq`` is near the caller's last ``ack``."""
+    """Return a reset for a flow; ``seq`` is near the caller's last ``ack``."""
     dport, src, sport, dst = _FLOW_PARTS.unpack(flow)
     return HEAD.pack(0, RST, 0, sport, dst, dport, src, 0, 0, seq, 0)
 
 
 def caller_host(flow: bytes) -> str:
-    """Return the address of a flow's caller; the wire has it reversed."""
+    """Return the address of a flow's caller; its bytes are reversed on the wire."""
     return socket.inet_ntoa(flow[5:1:-1])
 
 
 def flow_text(flow: bytes) -> str:
-    """Return a flow for people: ``100.64.0.7:40001>198.18.0.1:443``."""
+    """Format a flow for display: ``100.64.0.7:40001>198.18.0.1:443``."""
     dport, src, sport, dst = _FLOW_PARTS.unpack(flow)
     return f"{_dotted(src)}:{sport}>{_dotted(dst)}:{dport}"
 
 
 def place_of(host: str, port: int) -> bytes:
-    """Return an address and port as packets carry them."""
+    """Encode an address and port as in a packet header."""
     return socket.inet_aton(host)[::-1] + port.to_bytes(2, "little")
 
 
--- a/kumquatshift/platform/port.py
+++ b/kumquatshift/platform/port.py
@@ -1,4 +1,4 @@
-"""The port on which the platform's routers hand over callers' packets."""
+"""UDP port on which the platform's routers deliver callers' packets."""
 
 from __future__ import annotations
 
@@ -16,12 +16,13 @@
 
 RECEIVE_BYTES = MAX_DATA_BYTES + 256
 
-# Packets taken before other work gets its turn: a few milliseconds of them.
+# Packets processed before the event loop handles other work, which takes a few
+# milliseconds.
 BATCH_PACKETS = 64
 
 
 class PacketPort(Descriptor):
-    """Takes packets, asks `Steering` about each, and carries its answer out."""
+    """Receives packets and carries out the decision of `Steering` for each."""
 
     def __init__(
         self, reactor, sock: socket.socket, steering: Steering, events: EventSink
@@ -37,7 +38,7 @@
         self._callers_port = sock.getsockname()[1]
 
     def open(self) -> None:
-        """Begin to take packets; those that came before now are taken first."""
+        """Start receiving packets, beginning with those queued in the socket."""
         self._reactor.addReader(self)
 
     def fileno(self) -> int:
@@ -45,7 +46,7 @@
         return self._sock.fileno()
 
     def doRead(self) -> None:  # noqa: N802
-        """Take the packets that wait, a batch at most."""
+        """Process the queued packets, up to one batch."""
         now = self.now()
         for _ in range(BATCH_PACKETS):
             try:
@@ -55,11 +56,11 @@
             self.handle(data, now)
 
     def now(self) -> float:
-        """Return the time that packets are judged by."""
+        """Return the current time on the clock used for decisions."""
         return self._reactor.seconds()
 
     def handle(self, data: bytes, now: float) -> None:
-        """Carry out what is decided about one packet."""
+        """Decide about one packet and carry out the decision."""
         self.packets += 1
         self.last_packet_at = now
         packet = decode(data)
@@ -91,7 +92,7 @@
             )
 
     def end_lost_flows(self) -> None:
-        """Tell callers whose targets have ended; to be called often."""
+        """Reset flows whose targets have ended; to be called frequently."""
         for lost in self._steering.lost_flows(self.now()):
             self._reset(lost.flow, lost.ack)
 
@@ -104,6 +105,6 @@
         try:
             self._sock.sendto(data, destination)
         except OSError:
-            # The link is full or down: like a packet lost on it, the sender
-            # sends again.
+            # The link is saturated or down. As with any lost packet, the sender
+            # will retransmit.
             self.drops[Reason.SEND_FAILED] += 1
--- a/kumquatshift/platform/store.py
+++ b/kumquatshift/platform/store.py
@@ -1,7 +1,7 @@
-"""The platform's store: one connection for each kind of object.
+"""Client of the platform's store, with one connection for each kind of object.
 
-A feed decides which call is next, to the store or to another entry; this makes
-it and hands the answer over.
+A feed decides which call to make next, to the store or to a peer; this module
+makes the call and passes the response to the feed.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 
     Decoded = TypeVar("Decoded")
 
-# While others' news is followed: how often the feed is asked for its next call,
-# beside the times at which news comes.
+# How often a feed that follows peers is polled for its next call, in addition to
+# when a heartbeat announces changes.
 FOLLOW_POLL_S = 0.25
 
-# List times kept until they are next asked for.
+# Latency samples of lists, kept until metrics are next collected.
 MAX_LATENCY_SAMPLES = 1000
 
 FAILURES = {410: Failure.EXPIRED, 429: Failure.OVERLOADED}
 
 
 class StoreReader:
-    """Keeps one feed up to date."""
+    """Makes the calls of one feed."""
 
     def __init__(self, reactor, address: tuple[str, int], feed: Feed):
         self._reactor = reactor
@@ -50,11 +50,11 @@
         self._is_stopped = False
 
     def start(self) -> None:
-        """Make the feed's next call as soon as it is due."""
+        """Schedule the feed's next call for when it is due."""
         self._schedule(self._feed.wait_s(self._reactor.seconds()))
 
     def stop(self) -> None:
-        """Make no more calls, and close the connections."""
+        """Stop making calls and close the connections."""
         self._is_stopped = True
         self._cancel()
         self._caller.close()
@@ -62,7 +62,7 @@
             self._peer.close()
 
     def wake(self) -> None:
-        """Ask the feed for its next call at once, if it only follows."""
+        """Poll the feed for its next call at once if it is following a peer."""
         if self._is_following:
             self._cancel()
             self._call()
@@ -88,7 +88,7 @@
             self._caller.call("GET", request_path(call), b"", call.timeout_s, done)
 
     def _call_peer(self, call: NewsCall) -> None:
-        """Ask another entry; its connection is kept for the next time."""
+        """Call a peer; its connection is kept open for the next call."""
         if self._peer is None or self._peer.address != call.address:
             if self._peer is not None:
                 self._peer.close()
@@ -124,7 +124,7 @@
         take: Callable[[Decoded, float], None],
         fail: Callable[[str, str, float], None],
     ) -> None:
-        """Hand an answer over, or tell why there is none that can be read."""
+        """Pass the decoded response to the feed, or the reason for a failure."""
         now = self._reactor.seconds()
         if isinstance(answer, CallFailure):
             fail(answer.failure, answer.detail, now)
@@ -151,7 +151,7 @@
 
 
 def request_path(call: ListCall | WatchCall) -> str:
-    """Return the path and query of a call."""
+    """Return the path and query of a call to the store."""
     path = f"/api/objects/{call.kind}"
     if isinstance(call, WatchCall):
         return f"{path}?watch={call.revision}&waitMs={int(call.wait_s * 1000)}"
@@ -159,9 +159,10 @@
 
 
 def _quote(name: str) -> str:
-    """Escape a name for a query (RFC 3986, section 2.1).
+    """Percent-encode a name for a query (RFC 3986, section 2.1).
 
-    ``urllib.parse`` does the same, and is most of a list's time to import.
+    This avoids ``urllib.parse``, whose import would take most of the time of the
+    first list.
     """
     safe = [
         char if char.isascii() and (char.isalnum() or char in "-._~") else None
--- a/kumquatshift/platform/takers.py
+++ b/kumquatshift/platform/takers.py
@@ -1,4 +1,4 @@
-"""Hand what the store has to the site, decoded, one taker for each kind."""
+"""Feed listeners that decode objects and apply them to the site."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def takers(site: Site, events: EventSink) -> dict[str, FeedListener]:
-    """Return who takes in each kind of object."""
+    """Return the listener for each kind of object."""
     return {
         objects.CONFIGURATIONS: ConfigurationListener(site, events),
         objects.TARGETS: TargetListener(site, events),
@@ -25,24 +25,24 @@
 
 
 class ConfigurationListener:
-    """Hands configurations from the store to the site."""
+    """Applies configurations to the site."""
 
     def __init__(self, site: Site, events: EventSink):
         self._site = site
         self._events = events
 
     def take_list(self, items: tuple[Item, ...], after_loss: bool, now: float) -> None:
-        """Take in the configuration, if there is one already."""
+        """Apply the configuration if it exists."""
         for item in items:
             self._apply(item)
 
     def take_change(self, change: Change, now: float) -> None:
-        """Take in a new configuration."""
+        """Apply a new configuration."""
         if not change.is_deleted:
             self._apply(change.item)
 
     def note_loss(self, now: float) -> None:
-        """Pass over it: what was in force stays."""
+        """Do nothing: the last known state stays in effect."""
 
     def _apply(self, item: Item) -> None:
         if item.name != objects.CONFIGURATION_NAME:
@@ -56,21 +56,21 @@
 
 
 class TargetListener:
-    """Hands what targets say of themselves to the site."""
+    """Applies target reports to the site."""
 
     def __init__(self, site: Site, events: EventSink):
         self._site = site
         self._events = events
 
     def take_list(self, items: tuple[Item, ...], after_loss: bool, now: float) -> None:
-        """Take in all targets; entries that can not be read name none."""
+        """Apply the full list of targets; unreadable reports are left out."""
         if after_loss:
             self._site.note_relisting(now)
         reports = [self._report(item) for item in items]
         self._site.list_targets([r for r in reports if r is not None], now)
 
     def take_change(self, change: Change, now: float) -> None:
-        """Take in what one target says, or that it has left."""
+        """Apply a change of one target; an unreadable report removes it."""
         report = None if change.is_deleted else self._report(change.item)
         if report is None:
             self._site.remove_target(change.item.name, now)
@@ -78,7 +78,7 @@
             self._site.put_target(report, now)
 
     def note_loss(self, now: float) -> None:
-        """Give living targets time to be listed again."""
+        """Give live targets time to be listed again."""
         self._site.note_relisting(now)
 
     def _report(self, item: Item) -> Report | None:
@@ -90,21 +90,21 @@
 
 
 class EvacuationListener:
-    """Hands evacuated domains to the site."""
+    """Applies domain evacuations to the site."""
 
     def __init__(self, site: Site):
         self._site = site
 
     def take_list(self, items: tuple[Item, ...], after_loss: bool, now: float) -> None:
-        """Take in all evacuated domains."""
+        """Apply the full list of evacuated domains."""
         self._site.list_evacuations(item.name for item in items)
 
     def take_change(self, change: Change, now: float) -> None:
-        """Take in that a domain is evacuated, or taken back."""
+        """Apply that a domain is evacuated or returned."""
         if change.is_deleted:
             self._site.restore_domain(change.item.name)
         else:
             self._site.evacuate(change.item.name)
 
     def note_loss(self, now: float) -> None:
-        """Pass over it: what was in force stays."""
+        """Do nothing: the last known state stays in effect."""
