--- a/kumquatshift/direct/feed.py
+++ b/kumquatshift/direct/feed.py
@@ -180,10 +180,10 @@
         self._busy_tries = 0
         self._busy_since = 0.0
 
-    def follow(self, members: Members, news: News) -> None:
+    def follow(self, members: Members, peers: News) -> None:
         """Read updates from other entries too."""
         self._members = members
-        self._peers = news
+        self._peers = peers
 
     def reaches_store(self, now: float) -> bool:
         """Return whether the store is presumed reachable from this entry."""
@@ -264,21 +264,21 @@
         if changes.changes:
             self._next_call_at = now + BATCH_S
 
-    def take_news(self, news: NewsAnswer, now: float) -> None:
+    def take_news(self, update: NewsAnswer, now: float) -> None:
         """Process an update from a peer."""
         self._busy_tries = 0
-        if news.tick.revision < self._known_revision:
+        if update.tick.revision < self._known_revision:
             return
         if now - self.confirmed_at > self._pace.fresh_s:
             # The readers had lost the store too, and now pass on its new list.
             self._listener.note_loss(now)
-        if news.is_whole:
-            self._apply_snapshot(news.items, news.tick.changed, now)
+        if update.is_whole:
+            self._apply_snapshot(update.items, update.tick.changed, now)
         else:
-            self._apply_changes(news.changes, news.tick.changed, now)
-        self._known_revision = news.tick.revision
-        self.changed = max(self.changed, news.tick.changed)
-        self.confirmed_at = max(self.confirmed_at, now - news.tick.age_s)
+            self._apply_changes(update.changes, update.tick.changed, now)
+        self._known_revision = update.tick.revision
+        self.changed = max(self.changed, update.tick.changed)
+        self.confirmed_at = max(self.confirmed_at, now - update.tick.age_s)
 
     def take_news_busy(self, now: float) -> None:
         """Schedule a retry, since a peer was busy answering others."""
--- a/kumquatshift/platform/journal.py
+++ b/kumquatshift/platform/journal.py
@@ -75,7 +75,7 @@
 
 @dataclass(frozen=True)
 class SiteDay:
-    """A standard day; ``down_s`` is how long all entries are down at its end, 0 if not."""
+    """A standard day; ``down_s`` is how long all entries are down at its end, or 0."""
 
     name: str
     length_s: float
