--- a/kumquatshift/platform/meeting.py
+++ b/kumquatshift/platform/meeting.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..adapters.peering import Neighbours
+from ..adapters.neighbours import Neighbours
 from ..direct.events import EventSink
 from ..direct.feed import Feed
 from ..direct.lifecycle import Lifecycle
