--- a/kumquatshift/direct/members.py
+++ b/kumquatshift/direct/members.py
@@ -116,34 +116,36 @@
         for name, (_, at) in list(self._queriers.items()):
             if now - at > QUERIER_TTL_S:
                 del self._queriers[name]
-        for name, heard in list(self._heartbeats.items()):
-            if now - heard.at > PEER_TIMEOUT_S:
+        for name, received in list(self._heartbeats.items()):
+            if now - received.at > PEER_TIMEOUT_S:
                 del self._heartbeats[name]
-                if heard.beat.domain == self.me.domain:
+                if received.beat.domain == self.me.domain:
                     self._events.emit(
-                        Event.PEER_LOST, peer=name, silent_s=round(now - heard.at, 3)
+                        Event.PEER_LOST, peer=name, silent_s=round(now - received.at, 3)
                     )
 
     def peers(self) -> list[ReceivedHeartbeat]:
         """Return the latest heartbeats of the other entries in the domain."""
         own = self.me.domain
         return [
-            heard for heard in self._heartbeats.values() if heard.beat.domain == own
+            received
+            for received in self._heartbeats.values()
+            if received.beat.domain == own
         ]
 
     def domain_members(self, domain: str) -> tuple[Member, ...]:
         """Return known entries of any domain, from heartbeats and queries."""
-        heard = {
+        received = {
             beat.name: Member(beat.name, beat.domain, beat.address)
             for beat, _ in self._heartbeats.values()
         }
         queriers = {name: member for name, (member, _) in self._queriers.items()}
-        found = {**queriers, **heard}
+        found = {**queriers, **received}
         return tuple(each for each in found.values() if each.domain == domain)
 
     def addresses(self) -> list[tuple[str, int]]:
         """Return the addresses to send heartbeats to: peers and candidates."""
-        found = {heard.beat.address for heard in self.peers()}
+        found = {received.beat.address for received in self.peers()}
         found.update(member.address for member in self._candidates.values())
         return sorted(found)
 
@@ -157,7 +159,9 @@
 
     def names(self) -> list[str]:
         """Return the names of the domain's entries, this one included."""
-        return sorted([self.me.name, *(heard.beat.name for heard in self.peers())])
+        return sorted(
+            [self.me.name, *(received.beat.name for received in self.peers())]
+        )
 
     def uses_readers(self) -> bool:
         """Return whether the domain is large enough to use shared readers."""
--- a/kumquatshift/direct/news.py
+++ b/kumquatshift/direct/news.py
@@ -1,7 +1,7 @@
 """Selection of peers to read store updates from, and limits on serving them.
 
-Each heartbeat carries a `Tick` per kind of object: its sender's revision, and
-how old it is. While any reader's is fresh, an entry makes no calls to the store;
+Each heartbeat carries a `Tick` per kind of object: the sender's revision, and how
+old it is. While that of any reader is fresh, an entry makes no calls to the store;
 otherwise it reads the store itself, whatever the readers do.
 
 This is designed for configurations of thousands of routes, which all followers
@@ -67,7 +67,7 @@
                 found = rank, Source(address, tick._replace(age_s=age_s))
         return found[1] if found is not None else None
 
-    def alternate(self, source: Source, known: int, tries: int) -> Source:
+    def alternate(self, source: Source, known: int, attempt: int) -> Source:
         """Return a peer that can serve what ``source`` has.
 
         Readers get an update first, but any peer that has it will do. The choice
@@ -82,7 +82,7 @@
         me = self._members.me.name
         return min(
             holders,
-            key=lambda each: _rank(me, each, tries),
+            key=lambda each: _rank(me, each, attempt),
             default=source,
         )
 
@@ -99,17 +99,17 @@
 
     def __init__(self, link_bytes_per_s: float):
         self._bytes_per_s = LINK_SHARE * link_bytes_per_s
-        self._free_at = float("-inf")
+        self._next_send_at = float("-inf")
 
     def admits(self, size: int, now: float) -> bool:
         """Return whether an answer of ``size`` bytes may be sent now."""
         if size <= SMALL_ANSWER_BYTES:
             return True
-        if now < self._free_at:
+        if now < self._next_send_at:
             return False
-        self._free_at = now + size / self._bytes_per_s
+        self._next_send_at = now + size / self._bytes_per_s
         return True
 
 
-def _rank(me: str, source: Source, tries: int) -> int:
-    return xxhash.xxh32_intdigest(f"{me}/{source.address}/{tries}".encode())
+def _rank(me: str, source: Source, attempt: int) -> int:
+    return xxhash.xxh32_intdigest(f"{me}/{source.address}/{attempt}".encode())
--- a/kumquatshift/direct/suspicion.py
+++ b/kumquatshift/direct/suspicion.py
@@ -230,8 +230,8 @@
     def _concurrent_silence_at(self, target: LiveTarget) -> float:
         """Return when other targets last had concurrent complaints.
 
-        This needs `MIN_CONCURRENT_SILENCES` other targets, or the only other one
-        if there are just two targets.
+        This takes `MIN_CONCURRENT_SILENCES` other targets, or the only other one if
+        there are just two targets; without them it is minus infinity.
         """
         count = min(MIN_CONCURRENT_SILENCES, len(self._targets) - 1)
         times = [at for each, at in self._complaint_times.items() if each is not target]
--- a/kumquatshift/platform/journal.py
+++ b/kumquatshift/platform/journal.py
@@ -112,10 +112,10 @@
         for name, part in traffic["mix"].items():
             counts[name] = counts.get(name, 0.0) + traffic["per_s"] * part / total
     worths = {kind["name"]: kind["worth"] for kind in site["classes"]}
-    whole = sum(counts[name] * worths[name] for name in counts)
+    total_worth = sum(counts[name] * worths[name] for name in counts)
     return tuple(
         Demand(
-            share=counts[kind["name"]] * kind["worth"] / whole,
+            share=counts[kind["name"]] * kind["worth"] / total_worth,
             aim_s=kind["aim_ms"] / 1000,
             deadline_s=kind["deadline_ms"] / 1000,
             late_credit=kind["late_worth"] / kind["worth"],
