--- a/kumquatshift/engine/__init__.py
+++ b/kumquatshift/engine/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions: events in, actions out; no I/O, no clock and no chance of its own."""
+"""The engine of an entry: events in, actions out, without I/O, clock or randomness."""
--- a/kumquatshift/engine/actions.py
+++ b/kumquatshift/engine/actions.py
@@ -1,4 +1,4 @@
-"""What the engine asks its driver to do."""
+"""Actions that the engine returns for its driver to carry out."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,7 +7,7 @@
 
 
 class DropReason(StrEnum):
-    """Why a packet went no further; each one has a counter."""
+    """Why a packet was dropped; each reason has a counter."""
 
     MALFORMED = "malformed"
     FRAGMENT = "fragment"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendTarget:
-    """Send the caller's IP packet ``data``, encapsulated, to a target."""
+    """Encapsulate the caller's IP packet ``data`` and send it to a target."""
 
     host: str
     port: int
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendCaller:
-    """Give the IP packet ``data`` to the fabric, on its way to the caller."""
+    """Send the IP packet ``data`` to the caller through the fabric."""
 
     data: bytes
 
@@ -50,21 +50,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Drop:
-    """Let a packet go, and count it under ``reason``."""
+    """Drop a packet, counted under ``reason``."""
 
     reason: DropReason
 
 
 @dataclass(frozen=True, slots=True)
 class SyncConfig:
-    """Fetch from ``peer`` the configuration objects that differ."""
+    """Fetch the configuration objects that differ from those of ``peer``."""
 
     peer: str
 
 
 @dataclass(frozen=True, slots=True)
 class WatchPlatform:
-    """Hold, or give up, the watches on the platform's objects."""
+    """Open or close the watches on the platform's objects.
+
+    They are kept open while ``hold`` is true.
+    """
 
     hold: bool
 
--- a/kumquatshift/engine/choice.py
+++ b/kumquatshift/engine/choice.py
@@ -1,8 +1,8 @@
-"""Choose a target for a new stream.
+"""Choose a target for a new flow.
 
-The choice goes by the recent rate of openings, so that targets get equal work
-while they are warm; by the flows already held, within limits, so that a lasting
-difference evens out; and by a share that grows while a target warms up.
+The cost of a target depends on its recent rate of new flows, so that warm targets
+get equal work; on the flows that it already holds, within limits, so that a lasting
+imbalance evens out; and on a share that grows while the target warms up.
 """
 
 import math
@@ -13,20 +13,22 @@
 from .store import ServiceView
 
 WARM_UP_S = 20.0
-COLD_SHARE = 0.1
+INITIAL_SHARE = 0.1
 OPENINGS_HALF_LIFE_S = 10.0
 MAX_HELD_FACTOR = 2.0
 
 
 class TargetChooser:
-    """Chooses targets for new streams, and remembers what it chose."""
+    """Chooses targets for new flows and tracks the rate of its choices."""
 
     def __init__(self):
         self._openings: dict[str, tuple[float, float]] = {}
         self._first_seen: dict[str, float] = {}
 
-    def observe(self, targets: dict[str, Target], now: float, warm: bool) -> None:
-        """Note which targets there are; with ``warm`` they are not new."""
+    def update_targets(
+        self, targets: dict[str, Target], now: float, warm: bool
+    ) -> None:
+        """Update the set of targets; with ``warm``, new ones skip the warm-up."""
         for name in targets:
             seen = now - WARM_UP_S if warm else now
             self._first_seen.setdefault(name, seen)
@@ -34,8 +36,10 @@
             del self._first_seen[name]
             self._openings.pop(name, None)
 
-    def chill(self, domain: str, targets: dict[str, Target], now: float) -> None:
-        """Treat a domain's targets as new: it has just come back."""
+    def restart_warm_up(
+        self, domain: str, targets: dict[str, Target], now: float
+    ) -> None:
+        """Restart the warm-up of a domain's targets after it returned to service."""
         for name, target in targets.items():
             if target.domain == domain:
                 self._first_seen[name] = now
@@ -52,32 +56,33 @@
         if not usable:
             return None
         mean = None
-        # That a cold target holds little must not outweigh that it is cold.
+        # Ignore held flows while any target warms up. Otherwise a cold target would
+        # be preferred for holding few flows.
         if all(self.share(target.name, now) >= 1 for target in usable):
             mean = sum(held.get(target.name, 0) for target in usable) / len(usable)
         chosen = min(usable, key=lambda t: self._cost(t, held, mean, key, now))
-        self._openings[chosen.name] = (self._recent(chosen.name, now) + 1, now)
+        self._openings[chosen.name] = (self._recent_openings(chosen.name, now) + 1, now)
         return chosen
 
     def share(self, name: str, now: float) -> float:
-        """Return how much of a full share a target takes, from 0.1 to 1."""
+        """Return the fraction of a full share that a target takes, from 0.1 to 1."""
         age_s = now - self._first_seen.get(name, now)
-        return min(1.0, COLD_SHARE + (1 - COLD_SHARE) * age_s / WARM_UP_S)
+        return min(1.0, INITIAL_SHARE + (1 - INITIAL_SHARE) * age_s / WARM_UP_S)
 
     def _cost(self, target, held, mean, key, now):
         factor = 1.0
         if mean is not None:
             factor = (held.get(target.name, 0) + 1) / (mean + 1)
             factor = min(MAX_HELD_FACTOR, max(1 / MAX_HELD_FACTOR, factor))
-        opened = self._recent(target.name, now) + 1
+        opened = self._recent_openings(target.name, now) + 1
         cost = opened * factor / self.share(target.name, now)
         return cost, xxhash.xxh32_intdigest(key + target.name.encode())
 
-    def _recent(self, name, now):
+    def _recent_openings(self, name, now):
         count, when = self._openings.get(name, (0.0, now))
         return count * math.exp2((when - now) / OPENINGS_HALF_LIFE_S)
 
 
 def admitted(view: ServiceView) -> list[Target]:
-    """Return the targets of a service that take new work."""
+    """Return the targets of a service that accept new work."""
     return [t for t in view.targets.values() if t.state is TargetState.ADMITTED]
--- a/kumquatshift/engine/dump.py
+++ b/kumquatshift/engine/dump.py
@@ -1,4 +1,4 @@
-"""The whole state of one entry as typed values, for its dump."""
+"""The state of one entry as typed values, for its dump."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class FlowCounts:
-    """Flows held in all, and those of them that this entry decides for."""
+    """Number of flows held, and of those whose primary is this entry."""
 
     held: int
     primary: int
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class TargetCounts:
-    """Flows held for one target, and packets sent to it from here."""
+    """Flows held for one target, packets sent to it, and its warm-up share."""
 
     flows: int
     sent: int
@@ -24,7 +24,11 @@
 
 @dataclass(frozen=True)
 class MemberState:
-    """What is known of one other entry; ``age_s`` is None if never heard."""
+    """State of one other entry, as known here.
+
+    ``age_s`` is the age of its last heartbeat, or None if there was none. ``in_step``
+    is set if it has the same configuration as this entry.
+    """
 
     name: str
     domain: str
@@ -38,7 +42,10 @@
 
 @dataclass(frozen=True)
 class EntryDump:
-    """Everything that `kumquat-ctl dump` shows of one entry."""
+    """The state of one entry that `kumquat-ctl dump` shows.
+
+    ``reader`` is set if the entry watches the platform for its domain.
+    """
 
     name: str
     domain: str
@@ -59,7 +66,7 @@
 
 
 def dump(engine: EntryEngine) -> EntryDump:
-    """Return the state of an engine; costs one walk over its flows."""
+    """Return the state of an engine; iterates once over all its flows."""
     node = engine.node
     now = node.clock.seconds()
     return EntryDump(
--- a/kumquatshift/engine/entry.py
+++ b/kumquatshift/engine/entry.py
@@ -1,7 +1,7 @@
-"""The decisions of one entry: events in, actions out.
+"""The engine of one entry, which turns events into actions.
 
-The object does no I/O and reads no clock but the one that it was given, so the
-same code runs in the programs, under a paused clock, and in a bench::
+The engine does no I/O and reads only the clock that it is given, so the same code
+runs in the programs, under a simulated clock, and in a bench::
 
     engine = EntryEngine.from_config(cfg, clock, random.Random(1), incarnation=1)
     for action in engine.packet(data):
@@ -24,15 +24,15 @@
 
 TICK_S = 0.25
 REQUEST_TICK_S = 0.05
-PAUSE_S = 1.5
-JOIN_S = 2.5
+MIN_PAUSE_S = 1.5
+MIN_JOIN_S = 2.5
 MAX_JOIN_S = 5.0
 READERS_PER_DOMAIN = 2
 
 
 @dataclass(frozen=True)
 class EntryConfig:
-    """What an entry's engine is made from."""
+    """Configuration of an entry's engine."""
 
     me: Vm
     peers: tuple[Vm, ...] = ()
@@ -41,7 +41,7 @@
 
 
 class EntryEngine:
-    """One entry of the system."""
+    """The engine of one entry; each event returns the actions to carry out."""
 
     def __init__(self, node: Node):
         self.node = node
@@ -51,7 +51,7 @@
         self._sequence = 0
         self._started_at = node.clock.seconds()
         self._last_event = self._started_at
-        self._next_beat = self._started_at
+        self._next_heartbeat = self._started_at
         self._resume_until = 0.0
         self.watching = False
         self._last_packet = self._started_at
@@ -60,7 +60,7 @@
     def from_config(
         cls, cfg: EntryConfig, clock: Clock, rng: Randomness, incarnation: int
     ) -> "EntryEngine":
-        """Make an engine; ``incarnation`` must grow with each start of an entry."""
+        """Create an engine; ``incarnation`` must grow with each start of an entry."""
         node = Node(cfg.me, incarnation, clock, rng, cfg.timers, cfg.limits)
         engine = cls(node)
         node.members.list_vms(cfg.peers, clock.seconds())
@@ -68,71 +68,75 @@
 
     @property
     def ready(self) -> bool:
-        """Whether the fabric should hand packets to this entry."""
+        """Whether the fabric should send packets to this entry."""
         node = self.node
         serving = node.state is EntryState.LIVE and not node.resuming
         return serving and node.store.domain_in(node.me.domain)
 
     def packet(self, data: bytes) -> list[Action]:
-        """Take a packet from the fabric."""
+        """Handle a packet from the fabric."""
         now = self._advance()
         self._last_packet = now
         return self._router.packet(data, now)
 
     def message(self, peer: str, message: Message) -> list[Action]:
-        """Take an authentic message from another entry."""
+        """Handle an authenticated message from another entry."""
         now = self._advance()
         if isinstance(message, Relay):
             return self._router.relay(message, now)
         if isinstance(message, RecordBatch):
             return self._router.records(peer, message, now)
-        return self._heartbeat(message, now)
+        return self._receive_heartbeat(message, now)
 
     def objects(self, objects: Iterable[Versioned]) -> list[Action]:
-        """Take configuration objects, from the platform or from a peer."""
+        """Handle configuration objects from the platform or from a peer."""
         now = self._advance()
         before = self._domains_in()
-        news = self.node.store.merge(objects)
-        if not news:
+        changed = self.node.store.merge(objects)
+        if not changed:
             return []
-        self.node.counters["objects-merged"] += len(news)
-        self._note_targets(before, now)
+        self.node.counters["objects-merged"] += len(changed)
+        self._update_targets(before, now)
         actions = self._requests.configure(now)
         self._refresh_ring(now)
-        return actions + self._beats(now)
+        return actions + self._send_heartbeats(now)
 
     def vms(self, vms: Iterable[Vm]) -> list[Action]:
-        """Take the platform's list of VMs, which may lag or be wrong."""
+        """Handle the platform's list of VMs, which may lag or be wrong."""
         now = self._advance()
         self.node.members.list_vms(vms, now)
         return []
 
     def tick(self) -> list[Action]:
-        """Do what is due; to be called every `TICK_S` seconds."""
+        """Run the periodic work; to be called every `TICK_S` seconds."""
         now = self._advance()
         self._finish_joining(now)
         self._finish_resuming(now)
         self._refresh_ring(now)
         actions = self._requests.tick(now)
         actions += self._sweeper.step(now)
-        actions += self._watch()
-        if now >= self._next_beat:
-            actions += self._beats(now)
+        actions += self._update_watches()
+        if now >= self._next_heartbeat:
+            actions += self._send_heartbeats(now)
         return actions
 
     def request_tick(self) -> list[Action]:
-        """Do what waiting requests need; to be called every `REQUEST_TICK_S`."""
+        """Run the timers of waiting requests; to be called every `REQUEST_TICK_S`."""
         return self._requests.tick(self._advance())
 
     def leave(self) -> list[Action]:
-        """Start to leave: hand over what is held, and take no new part."""
+        """Start to leave: hand over the flows held here and leave the ring."""
         now = self._advance()
         self.node.state = EntryState.LEAVING
         self._refresh_ring(now)
-        return self._beats(now)
+        return self._send_heartbeats(now)
 
     def drained(self, quiet_s: float) -> bool:
-        """Whether a leaving entry has handed over and gets no more packets."""
+        """Return whether this entry is leaving and has nothing left to do.
+
+        That is so once it has handed over its flows and has had no packets for more
+        than ``quiet_s``.
+        """
         if self.node.state is not EntryState.LEAVING:
             return False
         handed_over = self._sweeper.passes_since_change > 0
@@ -141,39 +145,45 @@
 
     @property
     def quiet_time_over(self) -> dict[str, bool]:
-        """For each request service, whether we know which requests are new."""
+        """For each request service, whether this entry's quiet time is over.
+
+        After its quiet time, the entry can tell new requests from repeated ones.
+        """
         return self._requests.quiet_times_over(self.node.clock.seconds())
 
     def latencies(self) -> list[tuple[str, float]]:
-        """Return profile and seconds of each request answered since the last call."""
+        """Return profile and latency of each request answered since the last call.
+
+        Latencies are in seconds.
+        """
         return self._requests.latencies()
 
     def counters(self) -> dict[str, int]:
-        """Return what was counted, by cause."""
+        """Return all event counters by name."""
         return dict(self.node.counters) | self._requests.counts
 
     def config_since(self, digests: tuple[int, ...]) -> list[Versioned]:
-        """Return what a peer lacks whose bucket digests are given."""
+        """Return the objects in which a peer with these bucket digests may differ."""
         return self.node.store.differing(digests)
 
     def _advance(self):
-        """Return the time; notice a gap in which this process did not run."""
+        """Return the current time; resume first if this process was paused."""
         now = self.node.clock.seconds()
         gap_s = now - self._last_event
         self._last_event = now
-        if gap_s > PAUSE_S:
+        if gap_s > MIN_PAUSE_S:
             self._resume(now, gap_s)
         return now
 
     def _resume(self, now, gap_s):
-        """Doubt all that was known before a pause; others have gone on."""
+        """Distrust the state from before a pause, as the other entries went on."""
         node = self.node
         node.counters["resumed"] += 1
         node.resumed_at = now
         node.ring_changed_at = now
         node.resuming = True
         self._resume_until = now + MAX_JOIN_S
-        node.members.excuse(gap_s)
+        node.members.discount_pause(gap_s)
         for flow in node.flows.flows.values():
             flow.unanswered = 0
 
@@ -182,7 +192,9 @@
         if not node.resuming:
             return
         waited_s = now - node.resumed_at
-        caught_up = waited_s > node.timers.heartbeat_s + TICK_S and self._in_step(now)
+        caught_up = (
+            waited_s > node.timers.heartbeat_s + TICK_S and self._config_in_sync(now)
+        )
         if caught_up or now > self._resume_until:
             node.resuming = False
 
@@ -193,58 +205,63 @@
         waited_s = now - self._started_at
         has_config = bool(node.store.objects())
         alone = not node.members.members
-        in_step = waited_s > JOIN_S and (alone or self._in_step(now))
+        in_step = waited_s > MIN_JOIN_S and (alone or self._config_in_sync(now))
         if has_config and (in_step or waited_s > MAX_JOIN_S):
             node.state = EntryState.LIVE
 
-    def _in_step(self, now):
-        """Tell whether a peer heard from lately has the configuration we have."""
+    def _config_in_sync(self, now):
+        """Return whether some peer has the same configuration as this entry.
+
+        Only peers heard since this entry started or resumed count.
+        """
         node = self.node
         return any(
             member.digest == node.store.digest
             for member in node.members.members.values()
-            if node.members.alive(member, now) and member.last_heard > self._since()
+            if node.members.alive(member, now)
+            and member.last_heard > self._fresh_since()
         )
 
-    def _since(self):
+    def _fresh_since(self):
         return max(self._started_at, self.node.resumed_at)
 
-    def _heartbeat(self, beat: Heartbeat, now: float) -> list[Action]:
+    def _receive_heartbeat(self, beat: Heartbeat, now: float) -> list[Action]:
         node = self.node
         known = node.members.members.get(beat.name)
         is_new = known is None or known.incarnation != beat.incarnation
-        was_away = known is not None and not node.members.recent(known, now)
-        if not node.members.heard(beat, now):
+        was_away = known is not None and not node.members.is_recently_heard(known, now)
+        if not node.members.record_heartbeat(beat, now):
             return []
         self._refresh_ring(now)
         actions = []
         if is_new or was_away:
-            # So that it learns at once that we hear it.
-            actions.append(SendPeer(beat.name, self._beat(now)))
+            # Reply at once, so that the peer learns that its heartbeats arrive.
+            actions.append(SendPeer(beat.name, self._make_heartbeat(now)))
         if beat.digest != node.store.digest:
             actions.append(SyncConfig(beat.name))
         return actions
 
     def _refresh_ring(self, now):
         node = self.node
-        if node.state is EntryState.LIVE and node.members.unheard(now):
-            # The others go on without us, and what we hold grows old.
+        if node.state is EntryState.LIVE and node.members.is_unheard_by_peers(now):
+            # The others have removed this entry from their rings, so its flow
+            # records and configuration become outdated.
             node.resuming = True
             node.resumed_at = now
             self._resume_until = now + MAX_JOIN_S
-        include_me = node.state is EntryState.LIVE
-        if not node.members.refresh(now, include_me):
+        include_self = node.state is EntryState.LIVE
+        if not node.members.refresh(now, include_self):
             return
         node.ring_changed_at = now
         self._sweeper.ring_changed()
         self._requests.ring_changed()
 
-    def _beats(self, now):
-        self._next_beat = now + self.node.timers.heartbeat_s
-        beat = self._beat(now)
+    def _send_heartbeats(self, now):
+        self._next_heartbeat = now + self.node.timers.heartbeat_s
+        beat = self._make_heartbeat(now)
         return [SendPeer(name, beat) for name in self.node.members.members]
 
-    def _beat(self, now):
+    def _make_heartbeat(self, now):
         node = self.node
         self._sequence += 1
         return Heartbeat(
@@ -255,11 +272,11 @@
             node.state,
             node.store.digest,
             node.me.address,
-            node.members.heard_names(now),
+            node.members.recently_heard_names(now),
         )
 
-    def _watch(self):
-        """Hold the platform's watches if we are among the domain's readers."""
+    def _update_watches(self):
+        """Watch the platform if this entry is one of its domain's readers."""
         hold = self._is_reader()
         if hold == self.watching:
             return []
@@ -285,10 +302,10 @@
         domains = self.node.store.domains
         return {name for name in domains if self.node.store.domain_in(name)}
 
-    def _note_targets(self, before, now):
+    def _update_targets(self, before, now):
         node = self.node
-        first = now - self._started_at < JOIN_S
-        node.chooser.observe(node.store.targets, now, warm=first)
+        starting = now - self._started_at < MIN_JOIN_S
+        node.chooser.update_targets(node.store.targets, now, warm=starting)
         for name in self._domains_in() - before:
-            if node.store.get(Kind.DOMAIN, name).version and not first:
-                node.chooser.chill(name, node.store.targets, now)
+            if node.store.get(Kind.DOMAIN, name).version and not starting:
+                node.chooser.restart_warm_up(name, node.store.targets, now)
--- a/kumquatshift/engine/flows.py
+++ b/kumquatshift/engine/flows.py
@@ -1,4 +1,4 @@
-"""The flows that one entry holds, as primary or as standby."""
+"""The flow table of one entry, for its flows as primary and as standby."""
 
 from .messages import Record
 from .ring import RingEntry
@@ -8,16 +8,17 @@
 
 
 class Flow:
-    """One held flow; times are in seconds on the entry's clock.
-
-    ``holders`` are the entries that hold a copy as far as is known, and
-    ``placed_at`` is when a packet last carried the record to them. A proposal stands
-    from ``tentative_until`` on; only the entry that decides for the flow sets it.
-    ``unanswered`` counts the caller's packets since the last answer, the first of
-    them at ``unanswered_since``; ``answered`` tells whether any answer ever came.
-    ``proven`` tells whether the record is known to have reached every holder, and
-    ``placings`` counts the packets that carried it without a proof. ``opened_here``
-    tells whether this entry chose the target, for which no answer came yet.
+    """One flow; times are in seconds on the entry's clock.
+
+    ``holders`` are the entries known to hold a copy, and ``placed_at`` is when a
+    packet last carried the record to them. A tentative record is confirmed at
+    ``tentative_until`` unless a preferred one turns up; only the primary sets this
+    time. ``unanswered`` counts the caller's packets since the last answer, the first
+    of them at ``unanswered_since``; ``answered`` is set once any answer has arrived.
+    ``proven`` is set once the record is taken to have reached every holder, and
+    ``unproven_replications`` counts the packets that carried it before that.
+    ``opened_here`` is set while this entry has chosen the target and no answer has
+    arrived.
     """
 
     __slots__ = (
@@ -42,7 +43,7 @@
         self.last_seen = now
         self.holders: tuple[RingEntry, ...] = ()
         self.placed_at = STALE_S
-        self.placings = 0
+        self.unproven_replications = 0
         self.proven = False
         self.opened_here = False
         self.tentative_until = NEVER_S
@@ -53,11 +54,11 @@
 
 
 def prefer(one: Record | None, other: Record | None) -> Record | None:
-    """Return the record that stands where two copies of a flow differ.
+    """Return the preferred one of two records of the same flow.
 
-    A later opening of the same key stands before an earlier one, a confirmed
-    record before a proposal, and of two openings that did not know of each
-    other the older one. The rule is the same at every entry.
+    A later epoch is preferred to an earlier one, then a confirmed record to a
+    tentative one, then the older of two concurrent openings. Every entry applies
+    the same rule, so that all agree on the record.
     """
     if one is None or other is None:
         return one or other
@@ -69,7 +70,7 @@
 
 
 class FlowTable:
-    """All held flows by key, with the number held for each target."""
+    """All flows of one entry by key, and the number of flows of each target."""
 
     def __init__(self):
         self.flows: dict[bytes, Flow] = {}
@@ -80,7 +81,7 @@
         return len(self.flows)
 
     def put(self, record: Record, bucket: int, now: float) -> Flow:
-        """Hold a record, in place of an earlier one of the same key."""
+        """Store a record, replacing an earlier one of the same key."""
         flow = self.flows.get(record.key)
         if flow is None:
             flow = Flow(record, bucket, now)
@@ -99,7 +100,7 @@
         return flow
 
     def remove(self, key: bytes) -> None:
-        """Forget a flow; no error if it is not held."""
+        """Remove a flow if it is in the table."""
         flow = self.flows.pop(key, None)
         if flow is not None:
             self._count(flow.record.target, -1)
--- a/kumquatshift/engine/holders.py
+++ b/kumquatshift/engine/holders.py
@@ -1,13 +1,14 @@
-"""Who decides on a service's requests, and who knows which of them are new.
+"""Determine which entries hold a service's requests, and which of them may vote.
 
-The holders of a service are the first three of all entries that may be running,
-also those out of reach. An entry that has just started keeps a quiet time, as
-TCP does after a crash (RFC 9293, section 3.4.3): a packet that it has not seen
-may repeat a request that ran before. After it the entry is a witness.
+The holders of a service are the first three in the bucket's order of all entries
+that may be running, including unreachable ones. An entry that has just started
+observes a quiet time, as TCP does after a crash (RFC 9293, section 3.4.3): a packet
+new to it may repeat a request that was executed before the start. Once its quiet
+time is over, the entry is a voter: it can tell new requests from repeated ones.
 
-A request that may not run twice is passed on only while two of the three holders
-are witnesses in reach. Any two pairs of three share one, so two sides of a cut
-never both run it.
+A request that must not be executed twice is forwarded only while two of the three
+holders are reachable voters. Any two such majorities have a holder in common, so
+the two sides of a network partition never both execute the request.
 """
 
 from .node import Node
@@ -19,10 +20,10 @@
 
 
 class RequestHolders:
-    """The holders of request services, as one entry sees them.
+    """The holders of request services, as seen by one entry.
 
-    It is the request policy's `Standing`. ``flow`` is a flow key, or a longer key
-    that begins with one.
+    Implements the request policy's `Standing`. ``flow`` is a flow key, or a longer
+    key that starts with one.
     """
 
     def __init__(self, node: Node):
@@ -30,28 +31,28 @@
         self._started_at = node.clock.seconds()
 
     def primary(self, view: ServiceView) -> str:
-        """Return the entry that decides on a service's requests, "" if none does."""
+        """Return the entry that decides on a service's requests, or "" if none does."""
         members = self._node.members
         now = self._node.clock.seconds()
         bucket = bucket_of(service_address(view.service))
         for holder in members.known.holders(bucket):
-            if self._is_witness(holder.name, view, now):
+            if self._is_voter(holder.name, view, now):
                 return holder.name
         return next(iter(members.ring.order(bucket)), "")
 
     def is_primary(self, flow: bytes) -> bool:
-        """Tell whether we decide for the flow, as far as we see."""
+        """Return whether this entry is the flow's primary in its own view."""
         view = self.view(flow)
         return view is not None and self.primary(view) == self._node.name
 
     def was_primary(self, flow: bytes, known: Ring, ring: Ring) -> bool:
-        """Tell whether we decided for the flow while these rings stood."""
+        """Return whether this entry was the flow's primary under the given rings."""
         holders = known.holders(_bucket(flow))
         present = [holder for holder in holders if holder in ring.present]
         return bool(present) and present[0].name == self._node.name
 
     def is_certain(self, flow: bytes) -> bool:
-        """Tell whether two of the flow's three holders are witnesses in reach."""
+        """Return whether two of the flow's three holders are reachable voters."""
         node = self._node
         view = self.view(flow)
         if view is None:
@@ -65,25 +66,31 @@
         return 2 * witnesses > len(holders)
 
     def quiet_time_over(self, view: ServiceView, now: float) -> bool:
-        """Tell whether we have run longer than a service's callers repeat requests."""
+        """Return whether this entry's quiet time for a service is over.
+
+        It lasts as long as the service's callers may repeat a request, plus a margin.
+        """
         since = max(self._started_at, self._node.resumed_at)
         return now - since >= _quiet_time_s(view)
 
     def witnesses(self, flow: bytes) -> tuple[str, ...]:
-        """Return the other holders in reach that know what is new."""
+        """Return the other reachable holders whose quiet time is over."""
         now, view = self._node.clock.seconds(), self.view(flow)
         names = self._others(flow)
-        return tuple(name for name in names if self._is_witness(name, view, now))
+        return tuple(name for name in names if self._is_voter(name, view, now))
 
     def newcomers(self, flow: bytes) -> tuple[str, ...]:
-        """Return the other holders in reach that only hold what they are told."""
+        """Return the other reachable holders still in their quiet time.
+
+        They store records but don't count towards the majority.
+        """
         now, view = self._node.clock.seconds(), self.view(flow)
         alive = self._node.members.ring.names
         names = [name for name in self._others(flow) if name in alive]
-        return tuple(name for name in names if not self._is_witness(name, view, now))
+        return tuple(name for name in names if not self._is_voter(name, view, now))
 
     def view(self, flow: bytes) -> ServiceView | None:
-        """Return the service that a flow goes to, or None."""
+        """Return the service that a flow is addressed to, or None."""
         return self._node.store.by_address.get(_address(flow))
 
     def _holders(self, flow: bytes) -> tuple[RingEntry, ...]:
@@ -93,8 +100,8 @@
         names = (holder.name for holder in self._holders(flow))
         return [name for name in names if name != self._node.name]
 
-    def _is_witness(self, name, view, now):
-        """Tell whether an entry is in reach and its quiet time over."""
+    def _is_voter(self, name, view, now):
+        """Return whether an entry is reachable and its quiet time is over."""
         node = self._node
         if view is None or name not in node.members.ring.names:
             return False
--- a/kumquatshift/engine/members.py
+++ b/kumquatshift/engine/members.py
@@ -1,8 +1,9 @@
-"""Which entries are there: heartbeats joined with the platform's lagging list.
+"""Track the entries in service, from heartbeats and the platform's VM list.
 
-Nothing is elected and entries may disagree; flows are found all the same. An
-entry takes part when its heartbeats arrive, it says that ours arrive too, it is
-not leaving, and its failure domain is in service.
+The list lags behind. There is no leader election and entries may disagree about
+the membership; flows are found nevertheless. An entry is in the ring when its
+heartbeats arrive, it reports that this entry's heartbeats arrive too, it is not
+joining or leaving, and its failure domain is in service.
 """
 
 from collections.abc import Callable, Iterable
@@ -14,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Vm:
-    """An entry VM as the platform's list or the settings name it."""
+    """An entry VM as given by the platform's list or the settings."""
 
     name: str
     domain: str
@@ -24,7 +25,12 @@
 
 @dataclass(frozen=True)
 class MemberTimers:
-    """Times in seconds: between heartbeats, until suspected, until forgotten."""
+    """Membership timers.
+
+    ``heartbeat_s`` is the interval between heartbeats, ``suspect_s`` the time
+    without a heartbeat after which a member is suspected, and ``forget_s`` the time
+    after which one that the platform doesn't list is removed.
+    """
 
     heartbeat_s: float = 1.0
     suspect_s: float = 2.5
@@ -32,7 +38,7 @@
 
 
 class Member:
-    """What is known of one other entry."""
+    """State of one other entry, as known here."""
 
     __slots__ = (
         "address",
@@ -58,14 +64,18 @@
         self.state = EntryState.JOINING
         self.first_heard = float("inf")
         self.last_heard = float("-inf")
-        self.back_since = float("-inf")
+        self.reachable_since = float("-inf")
         self.hears_us = False
         self.digest = 0
         self.listed = True
 
 
 class Membership:
-    """The members that one entry knows, and the ring that follows from them."""
+    """The members known to one entry, and the rings built from them.
+
+    ``ring`` has the live entries in reach. ``known`` also has the entries that are
+    out of reach but may still be running.
+    """
 
     def __init__(
         self,
@@ -85,7 +95,7 @@
         self._latest: dict[str, tuple[int, int]] = {}
 
     def list_vms(self, vms: Iterable[Vm], now: float) -> None:
-        """Take in a list of VMs; a list may lag, miss members or name dead ones."""
+        """Merge a list of VMs, which may lag, miss members or contain failed ones."""
         listed = {vm.name: vm for vm in vms if vm.name != self.me.name}
         for name, vm in listed.items():
             if name not in self.members:
@@ -96,8 +106,8 @@
         for name, member in self.members.items():
             member.listed = name in listed
 
-    def heard(self, beat: Heartbeat, now: float) -> bool:
-        """Take in a heartbeat; return False if it is out of date."""
+    def record_heartbeat(self, beat: Heartbeat, now: float) -> bool:
+        """Record a heartbeat; return False if it is out of date."""
         latest = self._latest.get(beat.name, (0, 0))
         if beat.name == self.me.name or (beat.incarnation, beat.sequence) <= latest:
             return False
@@ -106,8 +116,11 @@
             member = Member(Vm(beat.name, beat.domain, beat.address))
             member.listed = False
             self.members[beat.name] = member
-        if not self.recent(member, now) or member.incarnation != beat.incarnation:
-            member.back_since = now
+        if (
+            not self.is_recently_heard(member, now)
+            or member.incarnation != beat.incarnation
+        ):
+            member.reachable_since = now
         self._latest[beat.name] = (beat.incarnation, beat.sequence)
         if member.incarnation != beat.incarnation:
             member.first_heard = now
@@ -122,49 +135,49 @@
         return True
 
     def alive(self, member: Member, now: float) -> bool:
-        """Tell whether packets reach a member, as far as heartbeats show."""
-        return self.recent(member, now) and member.hears_us
+        """Return whether heartbeats get through to and from a member."""
+        return self.is_recently_heard(member, now) and member.hears_us
 
-    def recent(self, member: Member, now: float) -> bool:
-        """Tell whether a member's heartbeats arrive."""
+    def is_recently_heard(self, member: Member, now: float) -> bool:
+        """Return whether a member's heartbeats arrive."""
         return now - member.last_heard <= self.timers.suspect_s
 
-    def unheard(self, now: float) -> bool:
-        """Tell whether others are there, of whom none hears us.
+    def is_unheard_by_peers(self, now: float) -> bool:
+        """Return whether live members are heard, but none of them hears this entry.
 
-        One that has just come back, or that joins, has had no time to hear us.
+        Members that are joining or were heard again only recently don't count, as
+        they may not have received a heartbeat yet.
         """
         grace_s = 2 * self.timers.heartbeat_s
         there = [
             member
             for member in self.members.values()
-            if self.recent(member, now)
+            if self.is_recently_heard(member, now)
             and member.state is EntryState.LIVE
-            and now - member.back_since > grace_s
+            and now - member.reachable_since > grace_s
         ]
         return bool(there) and not any(member.hears_us for member in there)
 
     def last_heard(self, domain: str) -> float:
-        """Return when the last heartbeat came from a failure domain."""
+        """Return when the last heartbeat from a failure domain arrived."""
         times = [m.last_heard for m in self.members.values() if m.domain == domain]
         return max(times, default=float("-inf"))
 
-    def heard_names(self, now: float) -> tuple[str, ...]:
+    def recently_heard_names(self, now: float) -> tuple[str, ...]:
         """Return the names of the members whose heartbeats arrive."""
         return tuple(
-            member.name for member in self.members.values() if self.recent(member, now)
+            member.name
+            for member in self.members.values()
+            if self.is_recently_heard(member, now)
         )
 
-    def excuse(self, gap_s: float) -> None:
-        """Do not hold against the members a gap in which we did not run."""
+    def discount_pause(self, gap_s: float) -> None:
+        """Exclude a pause of this process from the members' heartbeat ages."""
         for member in self.members.values():
             member.last_heard += gap_s
 
-    def refresh(self, now: float, include_me: bool) -> bool:
-        """Work the rings out again; return True if that of live entries changed.
-
-        ``known`` also has the entries that are out of reach but may still run.
-        """
+    def refresh(self, now: float, include_self: bool) -> bool:
+        """Rebuild the rings; return True if the ring of live entries changed."""
         self._forget(now)
         alive = [m for m in self.members.values() if self.alive(m, now)]
         reachable = {member.domain for member in alive}
@@ -173,21 +186,22 @@
         serving = [m for m in self.members.values() if self._may_serve(m)]
         known = [_ring_entry(member) for member in serving]
         entries = [_ring_entry(member) for member in serving if self.alive(member, now)]
-        if include_me and self._domain_in(self.me.domain):
+        if include_self and self._domain_in(self.me.domain):
             me = RingEntry(self.me.name, self.me.domain, self.incarnation)
             entries.append(me)
             known.append(me)
-        self.known = _kept_or_new(self.known, known)
-        ring = _kept_or_new(self.ring, entries)
+        self.known = _reuse_if_equal(self.known, known)
+        ring = _reuse_if_equal(self.ring, entries)
         if ring is self.ring:
             return False
         self.ring = ring
         return True
 
     def leaving(self, now: float) -> tuple[str, ...]:
-        """Return the members that leave but still hold flows.
+        """Return the members that are leaving and may still hold flows.
 
-        Those of a failure domain that is out get no packets any more.
+        Members of a failure domain that is out of service are left out, as they get
+        no packets.
         """
         return tuple(
             member.name
@@ -214,7 +228,7 @@
     return RingEntry(member.name, member.domain, member.incarnation)
 
 
-def _kept_or_new(ring, entries):
-    """Return the ring of these entries, the same object if nothing changed."""
+def _reuse_if_equal(ring, entries):
+    """Return a ring of these entries, the same object if they have not changed."""
     new = Ring(entries)
     return ring if new.entries == ring.entries else new
--- a/kumquatshift/engine/messages.py
+++ b/kumquatshift/engine/messages.py
@@ -1,4 +1,4 @@
-"""What entries say to each other, as typed values; the codec is elsewhere."""
+"""Messages that entries exchange, as typed values; the adapters encode them."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -6,14 +6,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Record:
-    """Where one flow lives, as copied between entries.
+    """The target of one flow, as replicated between entries.
 
     ``key`` is the flow key of `packets.flow_key`, followed by the token for a
-    request. ``service`` is the version at which the service was created, so a
-    record never outlives its service. ``born_ms`` is the wall-clock time of the
-    opening in milliseconds; ``epoch`` counts openings of the same key. A
-    tentative record is a proposal that no other holder has confirmed yet.
-    ``detail`` is the request policy's own state, empty for streams.
+    request. ``service`` is the version at which the service was created, so that a
+    record is never applied to a recreated service. ``born_ms`` is the wall-clock
+    time at which the flow was opened, in milliseconds; ``epoch`` counts openings of
+    the same key. A ``tentative`` record may still be superseded by one that another
+    entry holds. ``detail`` is the request policy's own state, empty for streams.
     """
 
     key: bytes
@@ -26,7 +26,7 @@
 
 
 class Direction(IntEnum):
-    """Which way a relayed packet goes."""
+    """Direction of a relayed packet."""
 
     TO_TARGET = 0
     TO_CALLER = 1
@@ -34,12 +34,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Relay:
-    """A packet on its way between entries.
+    """A packet relayed between entries.
 
-    An empty ``path`` asks the receiver to decide as the flow's primary. Otherwise
-    the receiver merges ``record`` with what it holds and passes the packet on
-    along ``path``; the last one sends it to the target. The first ``copies``
-    of the path keep a copy of the record.
+    Without a ``record``, the receiver decides on the packet as the flow's primary, or
+    forwards it to the primary; ``visited`` lists the entries that have forwarded it.
+    Otherwise the receiver merges ``record`` with its own and forwards the packet
+    along ``path``; the last entry sends it to the target. The receiver and the first
+    ``copies - 1`` entries of ``path`` store the record.
     """
 
     data: bytes
@@ -53,13 +54,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RecordBatch:
-    """Records copied outside the packet path; all of one service."""
+    """Records replicated outside the packet path, all of one service."""
 
     records: tuple[Record, ...]
 
 
 class EntryState(IntEnum):
-    """What an entry says of itself."""
+    """Lifecycle state that an entry announces."""
 
     LIVE = 0
     LEAVING = 1
@@ -68,12 +69,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """One entry's sign of life, sent to each peer once a second.
+    """Heartbeat of an entry, sent to each peer once a second.
 
-    ``incarnation`` grows with every start; ``heard`` names the peers whose own
-    heartbeats arrive, so that a one-way cut is seen from both ends.
-    ``digest`` sums up the configuration in force, and ``address`` is where the
-    entry's ports are.
+    ``incarnation`` grows with every start. ``heard`` names the peers whose
+    heartbeats arrive, so that both ends detect a one-way partition. ``digest`` is
+    the digest of the configuration in force, and ``address`` is the address of the
+    entry's ports.
     """
 
     name: str
--- a/kumquatshift/engine/node.py
+++ b/kumquatshift/engine/node.py
@@ -1,4 +1,4 @@
-"""What the parts of one entry's engine share."""
+"""State shared by the components of one entry's engine."""
 
 from collections import Counter, defaultdict
 from dataclasses import dataclass
@@ -21,10 +21,10 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """Bounds on what one entry uses.
+    """Resource limits of one entry.
 
-    ``copy_bytes_per_s`` paces the background copy of records; ``max_flows`` is
-    the number of flows after which new ones are refused.
+    ``copy_bytes_per_s`` limits the rate at which records are copied in the
+    background. ``max_flows`` is the number of flows at which new ones are refused.
     """
 
     copy_bytes_per_s: float = 2500.0
@@ -61,22 +61,25 @@
         self.resuming = False
 
     def settled(self, now: float) -> bool:
-        """Tell whether the ring has stood long enough for copies to be made."""
+        """Return whether enough time has passed since the last ring change.
+
+        Within this time the background copy gets every record to its new holders.
+        """
         copy_bytes = len(self.flows) * RECORD_WIRE_BYTES
         copy_s = copy_bytes / self.limits.copy_bytes_per_s
         settle_s = min(MAX_SETTLE_S, SETTLE_S + copy_s)
         return now - self.ring_changed_at > settle_s
 
     def drop(self, reason: DropReason) -> Drop:
-        """Count a packet that goes no further."""
+        """Count a dropped packet and return the action that drops it."""
         self.counters[reason.value] += 1
         return Drop(reason)
 
     def usable(self, record: Record, view: ServiceView) -> Target | None:
-        """Return the target of a record, or None if the record no longer holds.
+        """Return the target of a record, or None if the record is no longer valid.
 
-        A record holds while its service is the very one it was made for, its
-        target exists, and the target's failure domain is in service.
+        A record is valid while the service has not been recreated, the target
+        exists, and the target's failure domain is in service.
         """
         if record.service != view.created:
             return None
@@ -85,24 +88,27 @@
             return None
         return target
 
-    def choices(self, view: ServiceView) -> list[Target]:
-        """Return the targets that may take new work, as far as we can reach."""
+    def candidate_targets(self, view: ServiceView) -> list[Target]:
+        """Return the targets that may take new work.
+
+        Targets in reachable domains are returned if there are any, otherwise all.
+        """
         in_service = [t for t in admitted(view) if self.store.domain_in(t.domain)]
         reachable = [t for t in in_service if self.reaches(t.domain)]
         return reachable or in_service
 
-    def has_room(self, target: Target) -> bool:
+    def has_capacity(self, target: Target) -> bool:
         """Estimate whether a target can take one more flow.
 
-        We hold a share of all records, three of each, spread evenly over the
-        entries; so what we hold for a target tells what it has in all.
+        Each record has three copies, spread evenly over the entries, so the number of
+        records held here for a target gives an estimate of its flows in all.
         """
         entries = len(self.members.ring.entries)
         held = self.flows.held.get(target.name, 0)
         return held * entries < target.connections * min(COPIES, entries)
 
-    def cut_off(self) -> bool:
-        """Tell whether a domain in service, with entries listed, is out of reach."""
+    def is_partitioned(self) -> bool:
+        """Return whether a domain in service with listed entries is unreachable."""
         return any(
             member.listed
             and member.domain not in self.members.reachable_domains
@@ -111,7 +117,10 @@
         )
 
     def reaches(self, domain: str) -> bool:
-        """Tell whether a domain can be reached, as far as its entries show."""
+        """Return whether a domain is reachable, judged by its entries.
+
+        A domain without known entries counts as reachable.
+        """
         if domain in self.members.reachable_domains:
             return True
         known = self.members.members.values()
--- a/kumquatshift/engine/objects.py
+++ b/kumquatshift/engine/objects.py
@@ -1,11 +1,11 @@
-"""Configuration objects that operators declare, and their versions."""
+"""Configuration objects, declared by operators, and their versions."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
 
 class Kind(StrEnum):
-    """The kinds of object that the platform keeps for the system."""
+    """Kinds of configuration objects stored in the platform."""
 
     PROFILE = "profile"
     SERVICE = "service"
@@ -14,10 +14,11 @@
 
 
 class Mode(StrEnum):
-    """How the packets of a profile are read.
+    """How the packets of a profile are processed.
 
-    A stream is carried untouched; a request is read as CoAP (RFC 7252), so
-    that each exchange can be balanced, refused and retried by itself.
+    Packets of a stream are forwarded unmodified. Those of a request are parsed as
+    CoAP (RFC 7252), so that each exchange can be balanced, refused and retried
+    separately.
     """
 
     STREAM = "stream"
@@ -25,7 +26,7 @@
 
 
 class Priority(StrEnum):
-    """Which work goes first when there is not room for all of it."""
+    """Precedence of a profile's work when capacity is short."""
 
     URGENT = "urgent"
     NORMAL = "normal"
@@ -40,7 +41,7 @@
 
 
 class TargetState(StrEnum):
-    """Whether a target takes new work."""
+    """Whether a target accepts new work."""
 
     ADMITTED = "admitted"
     RETIRED = "retired"
@@ -57,13 +58,13 @@
 class Profile:
     """A named traffic profile; all times are in seconds.
 
-    ``idle_timeout_s`` ends a flow without packets, ``silence_timeout_s`` a
-    flow whose packets are no longer answered, and ``request_timeout_s`` is the
-    longest time for which a request may live. ``repeat_span_s`` is the longest
-    time after its first packet for which a caller may repeat a request that was
-    not answered; the default is that of RFC 7252, section 4.8.2. ``retry_share``
-    bounds retries as a share of first tries; ``reserved_share`` is the part of
-    each target's slots kept for this profile.
+    ``idle_timeout_s`` ends a flow without packets, and ``silence_timeout_s`` a flow
+    whose packets are no longer answered. ``request_timeout_s`` is the maximum
+    lifetime of a request. ``repeat_span_s`` is the maximum time after its first
+    packet for which a caller may retransmit an unanswered request; the default is
+    that of RFC 7252, section 4.8.2. ``retry_share`` limits retries as a fraction of
+    first attempts; ``reserved_share`` is the fraction of each target's slots reserved
+    for this profile.
     """
 
     name: str
@@ -79,7 +80,7 @@
 
 @dataclass(frozen=True)
 class Service:
-    """An address that callers use, and the profile that its traffic follows."""
+    """A virtual address that callers use, and the profile of its traffic."""
 
     name: str
     address: str
@@ -90,7 +91,7 @@
 
 @dataclass(frozen=True)
 class Target:
-    """A back end of one service; ``host`` and ``port`` take encapsulated packets."""
+    """A back end of one service; it receives encapsulated packets at host and port."""
 
     name: str
     service: str
@@ -104,7 +105,7 @@
 
 @dataclass(frozen=True)
 class Domain:
-    """A failure domain, in service or taken out by operators."""
+    """A failure domain, in service or taken out of service by operators."""
 
     name: str
     state: DomainState = DomainState.IN
@@ -115,12 +116,12 @@
 
 @dataclass(frozen=True)
 class Versioned:
-    """One object with its platform version; ``body`` is None once deleted.
+    """One object with its platform version; ``body`` is None once it is deleted.
 
-    Versions come from one counter of the platform, so an object that was
-    deleted and made again has a higher version than before. ``created`` is the
-    version at which the object was made, and tells it from an earlier one of
-    the same name. ``operation`` names the write that gave this version.
+    All versions come from one counter of the platform, so a recreated object has a
+    higher version than before its deletion. ``created`` is the version at which the
+    object was created, and distinguishes it from an earlier one of the same name.
+    ``operation`` identifies the write that resulted in this version.
     """
 
     kind: Kind
--- a/kumquatshift/engine/packets.py
+++ b/kumquatshift/engine/packets.py
@@ -1,7 +1,7 @@
-"""Read the few header fields of an IPv4 packet that decisions need.
+"""Read the header fields of an IPv4 packet that routing needs.
 
-Only fixed offsets are read, so that a packet costs a few slices. Packets with IP
-options are refused, since neither UDP nor TCP senders use them in practice.
+Only fixed offsets are read, so that parsing a packet takes a few slices. Packets
+with IP options are rejected, since UDP and TCP senders don't use them in practice.
 Offsets follow RFC 791 (IPv4), RFC 768 (UDP) and RFC 9293 (TCP).
 """
 
@@ -24,7 +24,7 @@
 
 
 def check(data: bytes) -> DropReason | None:
-    """Return why the packet can not be carried, or None if it can."""
+    """Return why the packet can't be forwarded, or None if it can."""
     size = len(data)
     if size < _MIN_UDP_BYTES or data[0] != _VERSION_AND_HEADER_WORDS:
         return DropReason.MALFORMED
@@ -41,26 +41,29 @@
 
 
 def destination(data: bytes) -> bytes:
-    """Return the seven bytes that name a packet's destination service."""
+    """Return destination address, port and protocol of a packet: seven bytes."""
     return data[16:20] + data[22:24] + data[9:10]
 
 
 def source(data: bytes) -> bytes:
-    """Return the seven bytes that name the service an answer comes from."""
+    """Return source address, port and protocol of a packet: seven bytes.
+
+    In an answer, they identify the service.
+    """
     return data[12:16] + data[20:22] + data[9:10]
 
 
 def flow_key(data: bytes) -> bytes:
-    """Return the key of a packet from a caller.
+    """Return the flow key of a packet from a caller.
 
-    The key is source address, destination address, source port, destination
-    port and protocol: 13 bytes.
+    The key consists of source address, destination address, source port,
+    destination port and protocol: 13 bytes.
     """
     return data[12:24] + data[9:10]
 
 
 def reverse_key(data: bytes) -> bytes:
-    """Return, for a packet to a caller, the key of the caller's own packets."""
+    """Return the flow key, as of the caller's packets, of a packet to a caller."""
     return data[16:20] + data[12:16] + data[22:24] + data[20:22] + data[9:10]
 
 
--- a/kumquatshift/engine/ports.py
+++ b/kumquatshift/engine/ports.py
@@ -1,10 +1,10 @@
-"""Ports through which time and chance reach the engine."""
+"""Interfaces through which the engine gets time and random numbers."""
 
 from typing import Protocol
 
 
 class Clock(Protocol):
-    """The runtime's clock; Twisted's reactor and its test `Clock` both fit."""
+    """A clock; Twisted's reactor and its test `Clock` both implement it."""
 
     def seconds(self) -> float:
         """Return the time in seconds since the epoch."""
@@ -12,12 +12,12 @@
 
 
 class Randomness(Protocol):
-    """Source of chance; `random.Random` fits."""
+    """A source of random numbers; `random.Random` implements it."""
 
     def random(self) -> float:
-        """Return a number in [0, 1)."""
+        """Return a random float in [0, 1)."""
         ...
 
     def randrange(self, stop: int) -> int:
-        """Return a whole number in [0, stop)."""
+        """Return a random integer in [0, stop)."""
         ...
--- a/kumquatshift/engine/resets.py
+++ b/kumquatshift/engine/resets.py
@@ -1,4 +1,4 @@
-"""Build the packets that end a flow at both of its ends (RFC 9293, 3.5.2)."""
+"""Build the TCP resets that end a flow at both ends (RFC 9293, section 3.5.2)."""
 
 import dpkt
 
@@ -8,9 +8,9 @@
 
 
 def reset_caller(data: bytes) -> bytes | None:
-    """Return a reset to the sender of ``data``, or None if it takes none.
+    """Return a TCP reset to the sender of ``data``, or None.
 
-    UDP has no reset, and a reset is never answered with one.
+    UDP has no resets, and a reset is never answered with another one.
     """
     segment = _tcp(data)
     if segment is None:
@@ -30,7 +30,7 @@
 
 
 def reset_target(data: bytes) -> bytes | None:
-    """Return a reset in the name of the sender of ``data``, or None."""
+    """Return a TCP reset to the target on behalf of the sender of ``data``, or None."""
     segment = _tcp(data)
     if segment is None:
         return None
--- a/kumquatshift/engine/ring.py
+++ b/kumquatshift/engine/ring.py
@@ -1,9 +1,9 @@
-"""Which entries hold a flow: rendezvous hashing over the entries in service.
+"""Assign flows to entries by rendezvous hashing over the entries in service.
 
-Flows fall into buckets; each bucket has an order of entries. The first is the
-primary, which decides for the flow. The next two are its standbys; they are
-taken from other failure domains where there are any, so that no domain holds
-every copy. The order never depends on targets. Rendezvous hashing (Thaler and
+Flows are hashed into buckets, and each bucket has an order of entries. The first
+entry is the primary, which decides for the flow. The next two are its standbys,
+taken from other failure domains where possible, so that no domain holds every
+copy. The order does not depend on targets. Rendezvous hashing (Thaler and
 Ravishankar, 1998) moves only the buckets of an entry that joins or leaves.
 """
 
@@ -28,10 +28,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RingEntry:
-    """An entry that can hold flows, its failure domain, and which start of it.
+    """An entry that can hold flows, with its failure domain and incarnation.
 
-    An entry that was started again holds nothing of what it held before, so
-    copies are counted by entry and incarnation.
+    A restarted entry has lost the flows that it held, so copies are counted by
+    entry and incarnation.
     """
 
     name: str
@@ -40,9 +40,9 @@
 
 
 class Ring:
-    """The orders of all buckets for one set of entries.
+    """The order of entries of each bucket, for one set of entries.
 
-    Orders are worked out when first asked for and then kept::
+    Orders are computed on first use and then cached::
 
         ring = Ring([RingEntry("e1", "north-a"), RingEntry("e2", "north-b")])
         primary = ring.order(bucket_of(key))[0]
@@ -59,7 +59,7 @@
         """Return the names of all entries, the bucket's primary first."""
         order = self._orders[bucket]
         if order is None:
-            self._work_out(bucket)
+            self._compute(bucket)
             order = self._orders[bucket]
         return order
 
@@ -67,11 +67,11 @@
         """Return the primary and the standbys of a bucket."""
         holders = self._holders[bucket]
         if holders is None:
-            self._work_out(bucket)
+            self._compute(bucket)
             holders = self._holders[bucket]
         return holders
 
-    def _work_out(self, bucket):
+    def _compute(self, bucket):
         ranked = sorted(
             self.entries, key=lambda entry: score(bucket, entry.name), reverse=True
         )
--- a/kumquatshift/engine/router.py
+++ b/kumquatshift/engine/router.py
@@ -1,11 +1,12 @@
-"""Decide where each packet goes.
-
-Every packet of a flow is decided on by the flow's primary, which passes the
-packet along the standbys whenever the record has to be placed or confirmed: at
-the opening, after the ring has changed, and every third of the idle timeout. So
-records travel with the packets they belong to. While the ring has changed
-lately, an opening is passed along further entries, since an earlier holder may
-be among them; the best record met on the way decides.
+"""Route each packet to a target, to the caller, or to another entry.
+
+The flow's primary decides on every packet of a flow. Whenever the flow record has
+to be replicated or confirmed, the primary forwards the packet through the standbys:
+when the flow opens, after the ring has changed, and every third of the idle
+timeout. Records are therefore replicated along with the packets they belong to.
+Shortly after a change of the ring, an opening is forwarded through additional
+entries, since one of them may hold an earlier record of the flow; the preferred
+record found on the path determines the target.
 """
 
 from dataclasses import replace
@@ -29,28 +30,29 @@
 from .request_router import RequestRouter
 from .resets import reset_caller, reset_target
 from .ring import bucket_of
-from .silence import Silence
+from .silence import SilenceDetector
 
-LOOKUP_HOPS = 8
+MAX_LOOKUP_HOPS = 8
 MAX_REDIRECTS = 3
-TENTATIVE_S = 0.25
-MAX_PLACINGS = 3
+TENTATIVE_TIMEOUT_S = 0.25
+MAX_UNPROVEN_REPLICATIONS = 3
 REFRESHES_PER_IDLE_TIMEOUT = 3
-COPIED_IDLE_FACTOR = 1 + 1 / REFRESHES_PER_IDLE_TIMEOUT
+# Standbys see a packet of a flow only when its record is refreshed.
+STANDBY_IDLE_FACTOR = 1 + 1 / REFRESHES_PER_IDLE_TIMEOUT
 
 _TCP_CHANGES = TCP_SYN | TCP_FIN | TCP_RST
 
 
 class Router:
-    """Packet decisions of one entry."""
+    """Routes the packets that one entry receives."""
 
     def __init__(self, node: Node, requests: RequestRouter):
         self._node = node
         self._requests = requests
-        self._silence = Silence(node)
+        self._silence_detector = SilenceDetector(node)
 
     def packet(self, data: bytes, now: float) -> list[Action]:
-        """Decide on a packet that came from the fabric."""
+        """Route a packet received from the fabric."""
         node = self._node
         reason = check(data)
         if reason is not None:
@@ -63,11 +65,11 @@
             return self._from_caller(view, data, now)
         view = by_address.get(source(data))
         if view is not None:
-            return self._take_answer(view, data, (), now)
+            return self._route_answer(view, data, (), now)
         return [node.drop(DropReason.UNKNOWN_SERVICE)]
 
     def relay(self, relay: Relay, now: float) -> list[Action]:
-        """Decide on a packet that another entry passed to us."""
+        """Route a packet that another entry relayed to this one."""
         node = self._node
         data = relay.data
         reason = check(data)
@@ -77,30 +79,30 @@
             return [node.drop(DropReason.RESUMING)]
         if relay.direction is Direction.TO_CALLER:
             view = node.store.by_address.get(source(data))
-            return self._take_answer(view, data, relay.visited, now)
+            return self._route_answer(view, data, relay.visited, now)
         view = node.store.by_address.get(destination(data))
         if view is None:
             return [node.drop(DropReason.UNKNOWN_SERVICE)]
         if relay.record is not None and view.takes_requests:
             return self._requests.hold(relay, view, now)
         if relay.record is not None:
-            return self._pass_on(relay, view, now)
+            return self._forward_along_path(relay, view, now)
         return self._redirect(relay, view, now)
 
     def records(self, peer: str, batch: RecordBatch, now: float) -> list[Action]:
-        """Take in copies of records; tell the sender of any that are better."""
+        """Merge replicated records; reply with local ones that are preferred."""
         better = []
         for record in batch.records:
             if record.detail:
                 self._requests.adopt(record, now)
                 continue
-            own = self._own(record.key)
+            own = self._valid_flow(record.key)
             best = prefer(own and own.record, record)
             if own is not None and best is own.record:
                 if _differ(best, record):
                     better.append(best)
                 continue
-            self._hold(best, now)
+            self._store_record(best, now)
         return [SendPeer(peer, RecordBatch(tuple(better)))] if better else []
 
     def _from_caller(self, view, data, now):
@@ -113,8 +115,9 @@
             return [node.drop(DropReason.DOMAIN_OUT)]
         primary = self._primary(view, holders)
         if primary == node.name:
-            return self._decide(view, flow, key, holders, data, now)
-        # An entry that holds a spare copy is not told when a better one stands.
+            return self._decide_as_primary(view, flow, key, holders, data, now)
+        # Only the ring's holders are notified of a preferred record, so a surplus
+        # copy on any other entry may be outdated.
         standby = any(holder.name == node.name for holder in holders)
         if flow is not None and standby and not _changes_state(data):
             target = node.usable(flow.record, view)
@@ -126,7 +129,7 @@
         ]
 
     def _redirect(self, relay, view, now):
-        """Act as the primary, or pass the packet to the one that is."""
+        """Decide as the primary, or forward the packet to the primary."""
         node = self._node
         data = relay.data
         key = flow_key(data)
@@ -139,42 +142,43 @@
         visited = relay.visited
         looped = primary in visited or len(visited) >= MAX_REDIRECTS
         if primary == node.name or looped:
-            return self._decide(view, flow, key, holders, data, now)
+            return self._decide_as_primary(view, flow, key, holders, data, now)
         return [SendPeer(primary, replace(relay, visited=(*visited, node.name)))]
 
-    def _decide(self, view, flow, key, holders, data, now):
-        """Decide as the flow's primary."""
+    def _decide_as_primary(self, view, flow, key, holders, data, now):
+        """Route a caller's packet as the flow's primary."""
         node = self._node
         if view.takes_requests:
             return self._requests.from_caller(view, data, now)
         if flow is None:
-            if _continues(data) and node.cut_off():
-                # The other side may hold it; the caller sends it again.
+            if _is_mid_connection(data) and node.is_partitioned():
+                # An entry across the partition may hold the record. The caller
+                # will retransmit.
                 return [node.drop(DropReason.NO_RECORD)]
             return self._open(view, key, data, now, epoch=0)
         target = node.usable(flow.record, view)
         if target is None:
-            return self._give_up(flow, view, data, now)
+            return self._replace_unusable(flow, view, data, now)
         changes = _changes_state(data)
         if flow.closing and changes and tcp_flags(data) & TCP_SYN:
             return self._open(view, key, data, now, flow.record.epoch + 1)
-        if not flow.answered and self._opened_towards_cut(flow, target, view):
+        if not flow.answered and self._opened_towards_unreachable(flow, target, view):
             return self._open(view, key, data, now, flow.record.epoch + 1)
-        if self._silence.is_silent(flow, view, now):
+        if self._silence_detector.is_silent(flow, view, now):
             return self._end_silent(flow, view, data, now)
-        self._silence.note_packet(flow, now)
+        self._silence_detector.note_packet(flow, now)
         if changes or not self._is_current(flow, view, holders, now):
-            return self._place(flow, view, data, now)
+            return self._replicate(flow, view, data, now)
         flow.last_seen = now
         return [self._send(target, data)]
 
     def _open(self, view, key, data, now, epoch, avoid=""):
-        """Choose a target for a new flow and place its record."""
+        """Choose a target for a new flow and replicate its record."""
         node = self._node
         usable = [
             target
-            for target in node.choices(view)
-            if target.name != avoid and node.has_room(target)
+            for target in node.candidate_targets(view)
+            if target.name != avoid and node.has_capacity(target)
         ]
         if len(node.flows) >= node.limits.max_flows:
             usable = []
@@ -185,24 +189,24 @@
         tentative = not node.settled(now)
         record = Record(key, target.name, view.created, born_ms, epoch, tentative)
         flow = node.flows.put(record, bucket_of(key), now)
-        flow.tentative_until = now + TENTATIVE_S
+        flow.tentative_until = now + TENTATIVE_TIMEOUT_S
         flow.opened_here = True
         node.counters["opened"] += 1
-        self._silence.note_packet(flow, now)
-        return self._place(flow, view, data, now)
+        self._silence_detector.note_packet(flow, now)
+        return self._replicate(flow, view, data, now)
 
-    def _place(self, flow, view, data, now):
-        """Pass the packet along the standbys, so that they hold the record."""
+    def _replicate(self, flow, view, data, now):
+        """Forward the packet through the standbys, so that they store the record."""
         node = self._node
         ring = node.members.ring
         holders = ring.holders(flow.bucket)
         standbys = tuple(h.name for h in holders if h.name != node.name)
         path = standbys
-        if self._unconfirmed(flow, now):
+        if self._is_unconfirmed(flow, now):
             order = ring.order(flow.bucket) + node.members.leaving(now)
-            path = tuple(n for n in order if n != node.name)[:LOOKUP_HOPS]
-        self._note_placing(flow, holders)
-        self._mark_placed(flow, holders, data, now)
+            path = tuple(n for n in order if n != node.name)[:MAX_LOOKUP_HOPS]
+        self._count_replication(flow, holders)
+        self._mark_replicated(flow, holders, data, now)
         if not path:
             return [self._send(node.usable(flow.record, view), data)]
         relay = Relay(
@@ -216,73 +220,73 @@
         )
         return [SendPeer(path[0], relay)]
 
-    def _pass_on(self, relay, view, now):
-        """Merge the record on its way with ours, and pass the packet on."""
+    def _forward_along_path(self, relay, view, now):
+        """Merge the relayed record with the local one and forward the packet."""
         node = self._node
         carried = relay.record
         if node.usable(carried, view) is None:
             return [node.drop(DropReason.DOMAIN_OUT)]
-        own = self._own(carried.key)
+        own = self._valid_flow(carried.key)
         best = prefer(carried, own and own.record)
         actions = []
         if best is not carried and _differ(best, carried):
-            actions = self._tell_holders(relay.primary, best)
+            actions = self._notify_holders(relay.primary, best)
         if relay.copies > 0 or own is not None:
-            flow = self._hold(best, now)
-            self._mark_placed(flow, flow.holders, relay.data, now)
+            flow = self._store_record(best, now)
+            self._mark_replicated(flow, flow.holders, relay.data, now)
             flow.proven = not relay.path
         found = best is not carried and not best.tentative
         if found or not relay.path:
             target = node.usable(best, view)
             return [*actions, self._send(target, relay.data)]
         copies = max(0, relay.copies - 1)
-        onward = replace(relay, path=relay.path[1:], record=best, copies=copies)
-        return [*actions, SendPeer(relay.path[0], onward)]
+        forwarded = replace(relay, path=relay.path[1:], record=best, copies=copies)
+        return [*actions, SendPeer(relay.path[0], forwarded)]
 
-    def _tell_holders(self, primary, record):
-        """Send a better record to those that may hold a worse one by now."""
+    def _notify_holders(self, primary, record):
+        """Send the preferred record to the holders, which may have a superseded one."""
         node = self._node
         holders = node.members.ring.holders(bucket_of(record.key))
         names = {primary, *(holder.name for holder in holders)} - {node.name}
         batch = RecordBatch((record,))
         return [SendPeer(name, batch) for name in sorted(names)]
 
-    def _take_answer(self, view, data, visited, now):
-        """Decide on an answer as its primary, or pass it to the one that is."""
+    def _route_answer(self, view, data, visited, now):
+        """Handle a target's answer as the primary, or forward it to the primary."""
         node = self._node
         key = reverse_key(data)
         flow = node.flows.get(key)
         bucket = bucket_of(key) if flow is None else flow.bucket
         holders = node.members.ring.holders(bucket)
         if not holders or view is None:
-            return self._answer(view, flow, data, now)
+            return self._handle_answer(view, flow, data, now)
         primary = self._primary(view, holders)
         looped = primary in visited or len(visited) >= MAX_REDIRECTS
         if primary == node.name or looped:
-            return self._answer(view, flow, data, now)
-        onward = Relay(data, Direction.TO_CALLER, "", (), (*visited, node.name))
-        return [SendPeer(primary, onward)]
+            return self._handle_answer(view, flow, data, now)
+        forwarded = Relay(data, Direction.TO_CALLER, "", (), (*visited, node.name))
+        return [SendPeer(primary, forwarded)]
 
     def _primary(self, view, holders):
         if view.takes_requests:
             return self._requests.primary(view)
         return holders[0].name
 
-    def _answer(self, view, flow, data, now):
+    def _handle_answer(self, view, flow, data, now):
         if view is not None and view.takes_requests:
             return self._requests.from_target(data, now)
         if flow is not None:
             flow.last_seen = now
             flow.proven = True
             flow.opened_here = False
-            flow.placings = 0
-            self._silence.note_answer(flow, now)
+            flow.unproven_replications = 0
+            self._silence_detector.note_answer(flow, now)
             if data[9] == PROTOCOL_TCP and tcp_flags(data) & (TCP_FIN | TCP_RST):
                 flow.closing = True
         return [SendCaller(data)]
 
-    def _own(self, key):
-        """Return our flow of this key if its record still holds, else None."""
+    def _valid_flow(self, key):
+        """Return the local flow of this key if its record is still valid, else None."""
         node = self._node
         flow = node.flows.get(key)
         if flow is None:
@@ -292,7 +296,7 @@
             return None
         return flow
 
-    def _hold(self, record, now):
+    def _store_record(self, record, now):
         node = self._node
         bucket = bucket_of(record.key)
         flow = node.flows.put(record, bucket, now)
@@ -301,7 +305,10 @@
         return flow
 
     def _is_current(self, flow, view, holders, now):
-        """Tell whether a packet can go straight to the flow's target."""
+        """Return whether packets can go straight to the flow's target.
+
+        Otherwise the record has to be replicated or confirmed first.
+        """
         refresh_s = view.profile.idle_timeout_s / REFRESHES_PER_IDLE_TIMEOUT
         if flow.holders != holders or now - flow.placed_at > refresh_s:
             return False
@@ -309,37 +316,38 @@
             return False
         return flow.last_seen >= self._node.resumed_at
 
-    def _confirm(self, flow, now):
-        """End a proposal that no better record has met in time.
+    def _confirm_if_due(self, flow, now):
+        """Confirm a tentative record if no preferred one turned up in time.
 
-        The record is placed once more then, since the standbys hold it as a
-        proposal still.
+        The record is then replicated again, since the standbys still hold it as
+        tentative.
         """
         if flow.record.tentative and now >= flow.tentative_until:
             flow.record = replace(flow.record, tentative=False)
             flow.tentative_until = NEVER_S
             flow.placed_at = STALE_S
 
-    def _unconfirmed(self, flow, now):
+    def _is_unconfirmed(self, flow, now):
         if flow.record.tentative and flow.tentative_until == NEVER_S:
-            flow.tentative_until = now + TENTATIVE_S
-        self._confirm(flow, now)
-        doubtful = flow.last_seen < self._node.resumed_at
-        return flow.record.tentative or doubtful
-
-    def _note_placing(self, flow, holders):
-        """Doubt that a record has arrived until an answer proves it.
-
-        A packet that carries the record may be lost on its way, and only the
-        last holder sends it to the target. Flows without answers stop to doubt
-        after a few packets.
+            flow.tentative_until = now + TENTATIVE_TIMEOUT_S
+        self._confirm_if_due(flow, now)
+        possibly_outdated = flow.last_seen < self._node.resumed_at
+        return flow.record.tentative or possibly_outdated
+
+    def _count_replication(self, flow, holders):
+        """Count a packet that carries the record, until an answer confirms delivery.
+
+        Such a packet may be lost between entries, and only the last holder on the
+        path sends it to the target. So an answer proves that every holder has the
+        record. Since some flows never get answers, the record also counts as
+        delivered after `MAX_UNPROVEN_REPLICATIONS` packets.
         """
         if flow.holders != holders:
-            flow.placings = 0
-        flow.placings += 1
-        flow.proven = flow.placings >= MAX_PLACINGS
+            flow.unproven_replications = 0
+        flow.unproven_replications += 1
+        flow.proven = flow.unproven_replications >= MAX_UNPROVEN_REPLICATIONS
 
-    def _mark_placed(self, flow, holders, data, now):
+    def _mark_replicated(self, flow, holders, data, now):
         flow.holders = holders
         flow.placed_at = STALE_S if flow.record.tentative else now
         flow.last_seen = now
@@ -351,13 +359,17 @@
         return SendTarget(target.host, target.port, data)
 
     def _refuse(self, data, reason):
-        """Refuse a packet for good; a stream that never ran gets a reset."""
+        """Drop a packet; a TCP sender also gets a reset, so that it stops retrying."""
         drop = self._node.drop(reason)
         reset = reset_caller(data)
         return [drop] if reset is None else [drop, SendCaller(reset)]
 
-    def _give_up(self, flow, view, data, now):
-        """End a flow whose target is gone, or whose service is another now."""
+    def _replace_unusable(self, flow, view, data, now):
+        """Handle a packet of a flow whose target or service is no longer valid.
+
+        The flow is reopened at another target, unless the packet belongs to an
+        established TCP connection of the same service; that one is reset.
+        """
         node = self._node
         epoch = flow.record.epoch + 1
         same_service = flow.record.service == view.created
@@ -367,27 +379,29 @@
         node.flows.remove(flow.record.key)
         return self._open(view, flow.record.key, data, now, epoch)
 
-    def _opened_towards_cut(self, flow, target, view):
-        """Tell whether a flow was opened towards a domain just cut off.
+    def _opened_towards_unreachable(self, flow, target, view):
+        """Return whether a flow was opened to a domain that had become unreachable.
 
-        A cut is noticed late; what was opened in the meantime has reached no
-        target, and may be opened again at one that can be reached.
+        A network partition is detected with a delay. Flows opened in the meantime
+        have not reached their target and can be reopened at a reachable one.
         """
         node = self._node
         domain = target.domain
         if node.reaches(domain):
             return False
-        if not any(node.reaches(other.domain) for other in node.choices(view)):
+        if not any(
+            node.reaches(other.domain) for other in node.candidate_targets(view)
+        ):
             return False
-        born = flow.record.born_ms / 1000
+        opened_s = flow.record.born_ms / 1000
         heartbeat_s = node.timers.heartbeat_s
-        if born > node.members.last_heard(domain) + heartbeat_s:
+        if opened_s > node.members.last_heard(domain) + heartbeat_s:
             return True
         notice_s = node.timers.suspect_s + heartbeat_s
-        return flow.opened_here and born > node.ring_changed_at - notice_s
+        return flow.opened_here and opened_s > node.ring_changed_at - notice_s
 
     def _end_silent(self, flow, view, data, now):
-        """Reset a lost flow at both ends; a datagram flow opens anew."""
+        """Reset a silent TCP flow at both ends; reopen a datagram flow elsewhere."""
         node = self._node
         target = node.usable(flow.record, view)
         epoch = flow.record.epoch + 1
@@ -410,8 +424,8 @@
     return data[9] == PROTOCOL_TCP and tcp_flags(data) & _TCP_CHANGES
 
 
-def _continues(data):
-    """Tell whether a packet belongs to a flow that was opened before."""
+def _is_mid_connection(data):
+    """Return whether a packet belongs to a TCP connection opened by an earlier one."""
     return data[9] == PROTOCOL_TCP and not tcp_flags(data) & TCP_SYN
 
 
--- a/kumquatshift/engine/silence.py
+++ b/kumquatshift/engine/silence.py
@@ -1,8 +1,8 @@
-"""Notice flows that a target has lost while it answers others.
+"""Detect flows whose state a target has lost while it answers other flows.
 
-Something between the two ends, or the target itself, may lose track of a flow
-while new ones work. Such a flow has packets from its caller and none back, over
-the whole of its profile's silence timeout, while the target goes on answering.
+A middlebox on the path, or the target itself, may lose the state of a flow while
+new flows work. Such a flow has packets from its caller and no answers over the whole
+silence timeout of its profile, while the target continues to answer other flows.
 """
 
 from .flows import Flow
@@ -14,18 +14,18 @@
 MAX_ANSWER_GAP_S = 5.0
 
 
-class Silence:
-    """What one entry, as primary, knows of unanswered packets."""
+class SilenceDetector:
+    """Tracks answered and unanswered packets of the flows of which we are primary."""
 
     def __init__(self, node: Node):
         self._node = node
         self._answering: dict[str, tuple[float, float]] = {}
 
     def note_packet(self, flow: Flow, now: float) -> None:
-        """Count a packet that is not answered yet.
+        """Count a caller's packet as unanswered.
 
-        What was lost before the ring last changed says nothing of the target:
-        an entry that failed may have swallowed it.
+        Packets sent before the last ring change don't count: they may have been lost
+        in an entry that failed, and not because of the target.
         """
         if not flow.unanswered or flow.unanswered_since < self._node.ring_changed_at:
             flow.unanswered = 0
@@ -33,9 +33,9 @@
         flow.unanswered += 1
 
     def note_answer(self, flow: Flow, now: float) -> None:
-        """Note an answer, and from when on its target answers without a gap.
+        """Record an answer, and since when its target has answered without a gap.
 
-        A target that paused as a whole has lost no flow.
+        A target that has stopped answering all flows has not lost any one of them.
         """
         flow.unanswered = 0
         flow.answered = True
@@ -45,9 +45,10 @@
         self._answering[flow.record.target] = since, now
 
     def is_silent(self, flow: Flow, view: ServiceView, now: float) -> bool:
-        """Tell whether the target lost the flow, while it answers others.
+        """Return whether the target seems to have lost this flow but answers others.
 
-        A datagram flow that was never answered may be one-way, and is let be.
+        A datagram flow that was never answered may be one-way, so it is never
+        reported as silent.
         """
         since = flow.unanswered_since
         limit_s = view.profile.silence_timeout_s
--- a/kumquatshift/engine/store.py
+++ b/kumquatshift/engine/store.py
@@ -1,9 +1,9 @@
-"""Configuration in force: the highest version seen of each object.
+"""Store the configuration in force: the highest known version of each object.
 
-Objects may arrive from the platform or from peers, in any order and more than
-once; merging keeps the highest version, so nothing ever reverts. Deleted
-objects stay as tombstones. Two stores that hold the same versions have the same
-digest; bucket digests tell in which part two stores differ.
+Objects may arrive from the platform or from peers, in any order and repeatedly.
+Merging keeps the highest version, so an object never reverts to an older one.
+Deleted objects are kept as tombstones. Two stores with the same versions have the
+same digest; bucket digests show in which buckets two stores differ.
 """
 
 import ipaddress
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class ServiceView:
-    """A service in force, with its profile and the names of its targets."""
+    """A service in force, with its profile and its targets by name."""
 
     service: Service
     created: int
@@ -45,7 +45,7 @@
 
 
 class ConfigStore:
-    """All configuration objects that one entry knows."""
+    """All configuration objects known to one entry."""
 
     def __init__(self):
         self.digest = 0
@@ -58,18 +58,18 @@
         self._bucket_digests = [0] * DIGEST_BUCKETS
 
     def merge(self, objects: Iterable[Versioned]) -> list[Versioned]:
-        """Take in objects; return those that were news."""
-        news = [obj for obj in objects if self._put(obj)]
-        if news:
+        """Merge objects; return those that are new or newer than the stored ones."""
+        changed = [obj for obj in objects if self._put(obj)]
+        if changed:
             self._rebuild()
-        return news
+        return changed
 
     def get(self, kind: Kind, name: str) -> Versioned | None:
-        """Return one object, a tombstone included, or None."""
+        """Return an object, which may be a tombstone, or None."""
         return self._objects.get((kind, name))
 
     def objects(self) -> list[Versioned]:
-        """Return all objects, tombstones included."""
+        """Return all objects, including tombstones."""
         return list(self._objects.values())
 
     def versions(self) -> dict[str, int]:
@@ -77,11 +77,11 @@
         return {f"{k}/{name}": obj.version for (k, name), obj in self._objects.items()}
 
     def bucket_digests(self) -> tuple[int, ...]:
-        """Return one digest for each part of the name space."""
+        """Return the digest of each bucket of object names."""
         return tuple(self._bucket_digests)
 
     def differing(self, digests: tuple[int, ...]) -> list[Versioned]:
-        """Return the objects in the parts where ``digests`` differ from ours."""
+        """Return the objects in the buckets whose digest differs from ``digests``."""
         return [
             obj
             for obj in self._objects.values()
@@ -89,7 +89,7 @@
         ]
 
     def domain_in(self, name: str) -> bool:
-        """Tell whether a failure domain is in service; unknown ones are."""
+        """Return whether a failure domain is in service; unknown ones count as such."""
         return name not in self._domains_out
 
     def _put(self, obj):
@@ -123,7 +123,7 @@
         self.targets = _targets_by_name(bodies[Kind.TARGET].values())
         self.by_name = {
             name: _service_view(obj, bodies[Kind.PROFILE])
-            for name, obj in sorted(bodies[Kind.SERVICE].items(), key=_made)
+            for name, obj in sorted(bodies[Kind.SERVICE].items(), key=_creation_order)
         }
         self.by_address = {
             service_address(view.service): view for view in self.by_name.values()
@@ -140,17 +140,17 @@
     return address + service.port.to_bytes(2, "big") + bytes([protocol])
 
 
-def _made(item):
+def _creation_order(item):
     _name, obj = item
     return obj.created, obj.version
 
 
 def _targets_by_name(objects):
-    """Return the targets; of several at one host and port the last one made.
+    """Return the targets by name; of several at one host and port, only the newest.
 
-    News of an address that is used again may come before news that its earlier
-    target is gone; packets of the earlier service must not reach the new one.
-    The same holds for services at one address.
+    When an address is reused, the new target may arrive before the deletion of the
+    old one, and packets of the old target's service must not reach the new target.
+    The same applies to services at one address.
     """
     owners = {}
     for obj in sorted(objects, key=lambda obj: (obj.created, obj.version)):
--- a/kumquatshift/engine/sweep.py
+++ b/kumquatshift/engine/sweep.py
@@ -1,10 +1,10 @@
-"""Walk over the held flows a few at a time: forget the idle, copy the rest.
+"""Expire idle flows and replicate the others in the background, in small steps.
 
-A flow whose holders have changed is copied to the new ones in the background,
-so that flows without packets survive the next failure too. The first of the
-earlier holders that is still there sends the copy. Copies are paced by a budget
-of bytes a second, except at an entry that leaves. The first pass after a change
-of the ring copies only the flows with a single copy left, at a higher pace.
+When a flow's holders change, its record is copied to the new holders in the
+background, so that flows without packets survive the next failure too. The first
+previous holder that is still in the ring sends the copy. Copying is rate-limited
+in bytes per second; an entry that leaves uses a much higher limit. The first pass
+after a ring change copies only flows with a single copy left, at a higher rate.
 """
 
 from collections import defaultdict
@@ -13,21 +13,21 @@
 from .flows import STALE_S
 from .messages import EntryState, RecordBatch
 from .node import BATCH_WIRE_BYTES, RECORD_WIRE_BYTES, Node
-from .router import COPIED_IDLE_FACTOR
+from .router import STANDBY_IDLE_FACTOR
 
 FLOWS_PER_STEP = 4000
-CALM_FLOWS_PER_STEP = 250
-CALM_PASS_S = 10.0
+MIN_EXPIRY_FLOWS_PER_STEP = 250
+EXPIRY_PASS_S = 10.0
 RECORDS_PER_BATCH = 40
 CLOSE_LINGER_S = 30.0
-SPARE_S = 60.0
-SCARCE_COPY_FACTOR = 4.0
+SURPLUS_COPY_IDLE_TIMEOUT_S = 60.0
+SINGLE_COPY_RATE_FACTOR = 4.0
 LEAVING_COPY_BYTES_PER_S = 1_000_000.0
-MAX_BURST_S = 1.0
+MAX_COPY_BURST_S = 1.0
 
 
 class Sweeper:
-    """Expiry and background copy of one entry's flows."""
+    """Expires and replicates the flows of one entry."""
 
     def __init__(self, node: Node):
         self._node = node
@@ -35,66 +35,67 @@
         self._budget_bytes = 0.0
         self._last_step = node.clock.seconds()
         self.passes_since_change = 0
-        self._scarce_only = False
-        self._began_settled = False
-        self._calm = False
+        self._single_copies_only = False
+        self._pass_began_settled = False
+        self._only_expiry_left = False
         self._pass_flows = 0
 
     def step(self, now: float) -> list[Action]:
-        """Look at the next few flows; return the copies to send."""
+        """Process the next few flows; return the copies to send."""
         elapsed_s = now - self._last_step
         self._refill(now)
         copies: dict[tuple[str, int], list] = defaultdict(list)
-        for _ in range(self._visits(elapsed_s)):
+        for _ in range(self._flows_this_step(elapsed_s)):
             if self._budget_bytes <= 0:
                 break
             if not self._keys and not (self._start_pass(now) and self._keys):
                 break
-            self._visit(self._keys.pop(), copies, now)
+            self._process(self._keys.pop(), copies, now)
         return [action for part in copies.items() for action in _batches(*part)]
 
     def ring_changed(self) -> None:
-        """Start over, since any flow may have new holders now."""
-        self._scarce_only = True
-        self._began_settled = False
-        self._calm = False
+        """Restart the pass, since any flow may have new holders."""
+        self._single_copies_only = True
+        self._pass_began_settled = False
+        self._only_expiry_left = False
         self._keys = list(self._node.flows.flows)
         self.passes_since_change = -1
 
     def _refill(self, now):
         rate = self._node.limits.copy_bytes_per_s
-        if self._scarce_only:
-            rate *= SCARCE_COPY_FACTOR
+        if self._single_copies_only:
+            rate *= SINGLE_COPY_RATE_FACTOR
         if self._node.state is EntryState.LEAVING:
             rate = LEAVING_COPY_BYTES_PER_S
         elapsed_s = now - self._last_step
         self._last_step = now
-        earned = self._budget_bytes + rate * elapsed_s
-        self._budget_bytes = min(rate * MAX_BURST_S, earned)
+        available = self._budget_bytes + rate * elapsed_s
+        self._budget_bytes = min(rate * MAX_COPY_BURST_S, available)
 
-    def _visits(self, elapsed_s):
-        """Return how many flows to look at; a calm pass takes `CALM_PASS_S`."""
-        if not self._calm or self._node.state is EntryState.LEAVING:
+    def _flows_this_step(self, elapsed_s):
+        """Return how many flows to process; an expiry pass takes `EXPIRY_PASS_S`."""
+        if not self._only_expiry_left or self._node.state is EntryState.LEAVING:
             return FLOWS_PER_STEP
-        share = int(self._pass_flows * elapsed_s / CALM_PASS_S)
-        return min(FLOWS_PER_STEP, max(CALM_FLOWS_PER_STEP, share))
+        share = int(self._pass_flows * elapsed_s / EXPIRY_PASS_S)
+        return min(FLOWS_PER_STEP, max(MIN_EXPIRY_FLOWS_PER_STEP, share))
 
     def _start_pass(self, now):
-        """Begin the next pass; the steps of a full one begin with the next tick.
+        """Start the next pass; return whether it starts within this step.
 
-        After a full pass that began with a settled ring every flow is where it
-        belongs, and only expiry is left to look for.
+        A full pass follows a pass over single copies at once, and another full pass
+        at the next tick. After a full pass that began with a settled ring, every
+        flow is on its current holders, and later passes only expire flows.
         """
-        again = self._scarce_only
-        self._calm = self._began_settled
-        self._began_settled = self._node.settled(now)
-        self._scarce_only = False
+        starts_now = self._single_copies_only
+        self._only_expiry_left = self._pass_began_settled
+        self._pass_began_settled = self._node.settled(now)
+        self._single_copies_only = False
         self.passes_since_change += 1
         self._keys = list(self._node.flows.flows)
         self._pass_flows = len(self._keys)
-        return again
+        return starts_now
 
-    def _visit(self, key, copies, now):
+    def _process(self, key, copies, now):
         flow = self._node.flows.get(key)
         if flow is None:
             return
@@ -104,22 +105,22 @@
         holders = self._node.members.ring.holders(flow.bucket)
         if flow.holders == holders or not holders:
             return
-        if self._scarce_only and self._copies_left(flow) > 1:
+        if self._single_copies_only and self._remaining_copies(flow) > 1:
             return
         if self._sends_copy(flow.holders):
             self._copy(flow, holders, copies)
         elif not self._node.settled(now):
-            # The sender may fail before it gets to this flow.
+            # Check the flow again: the entry that sends its copy may fail first.
             return
         flow.holders = holders
         flow.placed_at = STALE_S
 
-    def _copies_left(self, flow):
+    def _remaining_copies(self, flow):
         present = self._node.members.ring.present
         return sum(holder in present for holder in flow.holders)
 
     def _sends_copy(self, before):
-        """Tell whether we are the first of the earlier holders still there."""
+        """Return whether this entry is the first previous holder still in the ring."""
         node = self._node
         for holder in before:
             if holder.name == node.name:
@@ -140,10 +141,10 @@
             self._budget_bytes -= RECORD_WIRE_BYTES
 
     def _may_be_lost(self, flow):
-        """Tell whether the record was last passed along an entry that was gone.
+        """Return whether the last replication may have gone through a failed entry.
 
-        A failure is noticed late; a record that travelled in the meantime may
-        have got lost on its way to the entries behind the failed one.
+        Failures are detected with a delay. A record replicated in the meantime may
+        not have reached the entries after the failed one on its path.
         """
         timers = self._node.timers
         notice_s = timers.suspect_s + timers.heartbeat_s
@@ -156,7 +157,11 @@
             return idle_s > CLOSE_LINGER_S
         holders = node.members.ring.holders(flow.bucket)
         names = [holder.name for holder in holders]
-        if node.name not in names and idle_s > SPARE_S and flow.holders == holders:
+        if (
+            node.name not in names
+            and idle_s > SURPLUS_COPY_IDLE_TIMEOUT_S
+            and flow.holders == holders
+        ):
             return True
         key = flow.record.key
         view = node.store.by_address.get(key[4:8] + key[10:13])
@@ -164,7 +169,7 @@
             return True
         limit_s = view.profile.idle_timeout_s
         if names[:1] != [node.name]:
-            limit_s *= COPIED_IDLE_FACTOR
+            limit_s *= STANDBY_IDLE_FACTOR
         return idle_s > limit_s
 
 
