--- a/kumquatshift/engine/flows.py
+++ b/kumquatshift/engine/flows.py
@@ -16,7 +16,7 @@
     time. ``unanswered`` counts the caller's packets since the last answer, the first
     of them at ``unanswered_since``; ``answered`` is set once any answer has arrived.
     ``proven`` is set once the record is taken to have reached every holder, and
-    ``unproven_replications`` counts the packets that carried it before that.
+    ``replication_attempts`` counts the packets that carried it before that.
     ``opened_here`` is set while this entry has chosen the target and no answer has
     arrived.
     """
@@ -29,7 +29,7 @@
         "last_seen",
         "opened_here",
         "placed_at",
-        "placings",
+        "replication_attempts",
         "proven",
         "record",
         "tentative_until",
@@ -43,7 +43,7 @@
         self.last_seen = now
         self.holders: tuple[RingEntry, ...] = ()
         self.placed_at = STALE_S
-        self.unproven_replications = 0
+        self.replication_attempts = 0
         self.proven = False
         self.opened_here = False
         self.tentative_until = NEVER_S
--- a/kumquatshift/engine/members.py
+++ b/kumquatshift/engine/members.py
@@ -42,7 +42,7 @@
 
     __slots__ = (
         "address",
-        "back_since",
+        "heard_since",
         "digest",
         "domain",
         "hears_us",
@@ -64,7 +64,7 @@
         self.state = EntryState.JOINING
         self.first_heard = float("inf")
         self.last_heard = float("-inf")
-        self.reachable_since = float("-inf")
+        self.heard_since = float("-inf")
         self.hears_us = False
         self.digest = 0
         self.listed = True
@@ -120,7 +120,7 @@
             not self.is_recently_heard(member, now)
             or member.incarnation != beat.incarnation
         ):
-            member.reachable_since = now
+            member.heard_since = now
         self._latest[beat.name] = (beat.incarnation, beat.sequence)
         if member.incarnation != beat.incarnation:
             member.first_heard = now
@@ -149,14 +149,14 @@
         they may not have received a heartbeat yet.
         """
         grace_s = 2 * self.timers.heartbeat_s
-        there = [
+        established = [
             member
             for member in self.members.values()
             if self.is_recently_heard(member, now)
             and member.state is EntryState.LIVE
-            and now - member.reachable_since > grace_s
+            and now - member.heard_since > grace_s
         ]
-        return bool(there) and not any(member.hears_us for member in there)
+        return bool(established) and not any(member.hears_us for member in established)
 
     def last_heard(self, domain: str) -> float:
         """Return when the last heartbeat from a failure domain arrived."""
--- a/kumquatshift/engine/router.py
+++ b/kumquatshift/engine/router.py
@@ -35,9 +35,9 @@
 MAX_LOOKUP_HOPS = 8
 MAX_REDIRECTS = 3
 TENTATIVE_TIMEOUT_S = 0.25
-MAX_UNPROVEN_REPLICATIONS = 3
+MAX_REPLICATION_ATTEMPTS = 3
 REFRESHES_PER_IDLE_TIMEOUT = 3
-# Standbys see a packet of a flow only when its record is refreshed.
+# Standbys may see packets of a flow only when its record is refreshed.
 STANDBY_IDLE_FACTOR = 1 + 1 / REFRESHES_PER_IDLE_TIMEOUT
 
 _TCP_CHANGES = TCP_SYN | TCP_FIN | TCP_RST
@@ -91,7 +91,7 @@
 
     def records(self, peer: str, batch: RecordBatch, now: float) -> list[Action]:
         """Merge replicated records; reply with local ones that are preferred."""
-        better = []
+        preferred = []
         for record in batch.records:
             if record.detail:
                 self._requests.adopt(record, now)
@@ -100,10 +100,10 @@
             best = prefer(own and own.record, record)
             if own is not None and best is own.record:
                 if _differ(best, record):
-                    better.append(best)
+                    preferred.append(best)
                 continue
             self._store_record(best, now)
-        return [SendPeer(peer, RecordBatch(tuple(better)))] if better else []
+        return [SendPeer(peer, RecordBatch(tuple(preferred)))] if preferred else []
 
     def _from_caller(self, view, data, now):
         node = self._node
@@ -279,7 +279,7 @@
             flow.last_seen = now
             flow.proven = True
             flow.opened_here = False
-            flow.unproven_replications = 0
+            flow.replication_attempts = 0
             self._silence_detector.note_answer(flow, now)
             if data[9] == PROTOCOL_TCP and tcp_flags(data) & (TCP_FIN | TCP_RST):
                 flow.closing = True
@@ -340,12 +340,12 @@
         Such a packet may be lost between entries, and only the last holder on the
         path sends it to the target. So an answer proves that every holder has the
         record. Since some flows never get answers, the record also counts as
-        delivered after `MAX_UNPROVEN_REPLICATIONS` packets.
+        delivered after `MAX_REPLICATION_ATTEMPTS` packets.
         """
         if flow.holders != holders:
-            flow.unproven_replications = 0
-        flow.unproven_replications += 1
-        flow.proven = flow.unproven_replications >= MAX_UNPROVEN_REPLICATIONS
+            flow.replication_attempts = 0
+        flow.replication_attempts += 1
+        flow.proven = flow.replication_attempts >= MAX_REPLICATION_ATTEMPTS
 
     def _mark_replicated(self, flow, holders, data, now):
         flow.holders = holders
