--- a/kumquatshift/engine/node.py
+++ b/kumquatshift/engine/node.py
@@ -61,10 +61,7 @@
         self.resuming = False
 
     def settled(self, now: float) -> bool:
-        """Return whether enough time has passed since the last ring change.
-
-        Within this time the background copy gets every record to its new holders.
-        """
+        """Return whether the ring has been stable long enough to copy all records."""
         copy_bytes = len(self.flows) * RECORD_WIRE_BYTES
         copy_s = copy_bytes / self.limits.copy_bytes_per_s
         settle_s = min(MAX_SETTLE_S, SETTLE_S + copy_s)
--- a/kumquatshift/engine/silence.py
+++ b/kumquatshift/engine/silence.py
@@ -15,7 +15,7 @@
 
 
 class SilenceDetector:
-    """Tracks answered and unanswered packets of the flows of which we are primary."""
+    """Tracks answered and unanswered packets of the flows that this entry decides."""
 
     def __init__(self, node: Node):
         self._node = node
