--- a/kumquatshift/direct/routes.py
+++ b/kumquatshift/direct/routes.py
@@ -81,12 +81,12 @@
         return self._limits.get(service, NO_LIMITS)
 
 
-def share_of(route: Route, flow: bytes) -> str:
+def service_for_flow(route: Route, flow: bytes) -> str:
     """Return the service for a new flow, chosen by the weights of its route.
 
     The choice depends only on the flow and the route, so all entries agree::
 
-        service = share_of(route, packet.flow)
+        service = service_for_flow(route, packet.flow)
     """
     shares = route.shares
     if len(shares) == 1:
