--- a/kumquatshift/standins/__init__.py
+++ b/kumquatshift/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the systems outside: platform, fabric and targets."""
+"""Stand-ins for the external systems: platform, store, fabric and targets."""
--- a/kumquatshift/standins/admin.py
+++ b/kumquatshift/standins/admin.py
@@ -1,4 +1,4 @@
-"""The admin port of a stand-in: that of every process, and pages of its own."""
+"""Admin port of a stand-in: the pages common to all processes, and its own."""
 
 import json
 from collections.abc import Callable, Mapping
@@ -12,31 +12,31 @@
 
 
 class StandinState:
-    """What a stand-in shows; all of it is in its dump.
+    """State that a stand-in exposes on its admin port, taken from its dump.
 
-    ``take_dump`` is called at each request. The ``counters`` of the dump, a flat
-    mapping, give the page of metrics.
+    ``get_dump`` is called on each request. The metrics page is built from the
+    ``counters`` of the dump, a flat mapping.
     """
 
-    def __init__(self, take_dump: Callable[[], Mapping[str, Any]]):
-        self.dump = take_dump
+    def __init__(self, get_dump: Callable[[], Mapping[str, Any]]):
+        self.dump = get_dump
 
     def ready(self) -> bool:
-        """A stand-in that answers is ready."""
+        """Return True: a stand-in that responds is ready."""
         return True
 
     def metrics(self) -> str:
-        """Return the counters, one ``name value`` a line."""
+        """Return the counters, one ``name value`` per line."""
         counters = sorted(self.dump()["counters"].items())
         return "".join(f"{name} {value}\n" for name, value in counters)
 
     def versions(self) -> Mapping[str, int]:
-        """A stand-in holds no objects."""
+        """Return no versions: a stand-in holds no objects."""
         return {}
 
 
 class JsonPage(Resource):
-    """A page that shows what ``read`` returns at each request."""
+    """Page that calls ``read`` on each request and serves the result as JSON."""
 
     isLeaf = True  # noqa: N815
 
@@ -45,37 +45,37 @@
         self.read = read
 
     def render_GET(self, request):  # noqa: N802
-        """Answer with the page as it is now."""
+        """Respond with the current value of ``read``."""
         request.setHeader("Content-Type", "application/json")
         return json.dumps(self.read()).encode()
 
 
-class Button(Resource):
-    """A page that does one thing when it is posted to."""
+class ActionPage(Resource):
+    """Page that calls ``action`` on each POST request."""
 
     isLeaf = True  # noqa: N815
 
-    def __init__(self, press: Callable[[], None]):
+    def __init__(self, action: Callable[[], None]):
         super().__init__()
-        self.press = press
+        self.action = action
 
     def render_POST(self, request):  # noqa: N802
-        """Do it, and answer with an empty object."""
-        self.press()
+        """Call the action, and respond with an empty JSON object."""
+        self.action()
         request.setHeader("Content-Type", "application/json")
         return b"{}"
 
 
 def stop_ports(ports) -> defer.Deferred:
-    """Close ports; the Deferred fires when all of them are closed."""
+    """Close ports; the returned Deferred fires when all of them are closed."""
     return defer.gatherResults(
         [defer.maybeDeferred(port.stopListening) for port in ports]
     )
 
 
-def admin_site(take_dump, pages: Mapping[bytes, Resource] | None = None) -> Site:
+def admin_site(get_dump, pages: Mapping[bytes, Resource] | None = None) -> Site:
     """Return the HTTP site of a stand-in's admin port."""
-    root = admin_root(StandinState(take_dump))
+    root = admin_root(StandinState(get_dump))
     for name, page in (pages or {}).items():
         root.putChild(name, page)
     return Site(root)
--- a/kumquatshift/standins/application.py
+++ b/kumquatshift/standins/application.py
@@ -1,4 +1,4 @@
-"""The CoAP server of a target: an ordinary aiocoap site that knows no balancer."""
+"""CoAP server of a target: a plain aiocoap site, unaware of the balancer."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class ApplicationSettings:
-    """What an application is told of itself."""
+    """Name, service and capacity of an application."""
 
     name: str
     service: str
@@ -30,14 +30,14 @@
 
     @classmethod
     def from_config(cls, cfg: TargetStandinSection):
-        """Return what a target's settings say of its application."""
+        """Return the application settings of a target."""
         return cls(cfg.name, cfg.service, CapacitySettings.from_config(cfg))
 
 
 class RunLog:
-    """How often each request id was run, for the latest ids only.
+    """Number of runs per request id, for the ``kept`` most recent ids.
 
-    ``times_s`` are the times of the latest runs, in seconds since the epoch.
+    ``times_s`` holds the times of the most recent runs, in seconds since the epoch.
     """
 
     def __init__(self, clock, kept=IDS_KEPT):
@@ -56,7 +56,7 @@
 
 
 class Application:
-    """State behind the resources, and the site that callers reach."""
+    """State shared by the resources, and the site that serves them."""
 
     def __init__(self, settings: ApplicationSettings, clock):
         self.settings = settings
@@ -77,21 +77,21 @@
         return site
 
     def start(self):
-        """Begin to notify watches."""
+        """Start to send notifications to watches."""
         self.ticker.start(FEED_PERIOD_S, now=False)
 
     def stop(self):
-        """Notify watches no more."""
+        """Stop sending notifications to watches."""
         if self.ticker.running:
             self.ticker.stop()
 
     def answer(self, **fields):
-        """Return an answer's payload: who answers, and ``fields``."""
+        """Return the payload of an answer: target, service and ``fields``."""
         names = {"target": self.settings.name, "service": self.settings.service}
         return json.dumps({**names, **fields}).encode()
 
     def refusal(self):
-        """Return the answer for work that was not run."""
+        """Return the response to a request that was refused before it ran."""
         return Message(
             code=SERVICE_UNAVAILABLE,
             payload=b"not run",
@@ -100,7 +100,7 @@
 
 
 def query_of(req):
-    """Return the query of a request, ``a=b`` options as a mapping."""
+    """Return the ``a=b`` query options of a request as a mapping."""
     return dict(part.partition("=")[::2] for part in req.opt.uri_query)
 
 
@@ -110,34 +110,34 @@
 
 
 class Echo(Resource):
-    """Answers the request's id at once, whatever the load."""
+    """Responds with the id of the request at once, regardless of load."""
 
     def __init__(self, app):
         super().__init__()
         self.app = app
 
     async def render_get(self, req):
-        """Answer; doing it twice does no harm."""
+        """Respond; the request is idempotent."""
         ident = query_of(req).get("id", "")
         self.app.gets.add(ident)
         return Message(code=CONTENT, payload=self.app.answer(id=ident))
 
     async def render_post(self, req):
-        """Count one run of the id, and answer."""
+        """Count one run of the id, and respond."""
         ident = query_of(req).get("id", "")
         self.app.posts.add(ident)
         return Message(code=CHANGED, payload=self.app.answer(id=ident))
 
 
 class Work(Echo):
-    """Answers after ``ms`` milliseconds in a slot, or refuses at once."""
+    """Responds after ``ms`` milliseconds in a slot, or refuses at once."""
 
     async def render_get(self, req):
-        """Work, then answer."""
+        """Work, then respond."""
         return await self._work(req, super().render_get)
 
     async def render_post(self, req):
-        """Work, count one run of the id, and answer."""
+        """Work, count one run of the id, and respond."""
         return await self._work(req, super().render_post)
 
     async def _work(self, req, render):
@@ -150,7 +150,7 @@
 
 
 class Feed(ObservableResource):
-    """Notifies its watches once a second."""
+    """Observable resource that notifies its watches once a second."""
 
     def __init__(self, app):
         super().__init__()
@@ -159,28 +159,28 @@
 
     @property
     def watches(self):
-        """How many watches are open."""
+        """Number of open watches."""
         return len(self._observations)
 
     def advance(self):
-        """Step to the next value and notify."""
+        """Increment the value and notify the watches."""
         self.number += 1
         self.updated_state()
 
     async def render_get(self, req):
-        """Answer with the present value."""
+        """Respond with the current value."""
         return Message(payload=self.app.answer(number=self.number))
 
 
 class Big(Resource):
-    """Answers so many bytes that they go block by block."""
+    """Responds with a payload large enough for block-wise transfer."""
 
     def __init__(self, app):
         super().__init__()
         self.app = app
 
     async def render_get(self, req):
-        """Answer with ``size`` bytes that are made from the id."""
+        """Respond with ``size`` bytes derived from the id."""
         query = query_of(req)
         size = int(query.get("size", BIG_BYTES))
         ident = query.get("id", "")
@@ -188,6 +188,6 @@
 
 
 def big_payload(service, ident, size):
-    """Return the ``size`` bytes that ``service`` answers to ``ident``."""
+    """Return the ``size`` bytes with which ``service`` responds to ``ident``."""
     line = f"{service}/{ident};".encode()
     return (line * (size // len(line) + 1))[:size]
--- a/kumquatshift/standins/bridge.py
+++ b/kumquatshift/standins/bridge.py
@@ -1,4 +1,4 @@
-"""Joins TCP connections made of segments to real ones."""
+"""Bridges simulated TCP connections (segments) to real TCP connections."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -14,10 +14,10 @@
 
 
 class StreamTable:
-    """The connections of one host, by their two ends.
+    """The simulated connections of one host, by local and remote endpoint.
 
-    ``send`` takes each segment that goes out. ``accept`` returns the owner of
-    a connection that another host opens; without it none can be opened.
+    ``send`` is called with each outgoing segment. ``accept`` returns the owner of
+    a connection that another host opens; without it, such connections are reset.
     """
 
     def __init__(
@@ -41,7 +41,7 @@
         return stream
 
     def receive(self, segment):
-        """Hand a segment to its stream; reset a connection that is unknown."""
+        """Pass a segment to its stream, or reset the connection if there is none."""
         self.counters["segments-received"] += 1
         stream = self.streams.get((segment.dst, segment.src))
         is_opening = segment.syn and segment.ack is None
@@ -63,12 +63,12 @@
             stream.abort()
 
     def _add(self, local, remote, owner):
-        stream = Stream(local, remote, self.clock, self.send, owner, self._forget)
+        stream = Stream(local, remote, self.clock, self.send, owner, self._remove)
         self.streams[local, remote] = stream
         self.counters["streams-opened"] += 1
         return stream
 
-    def _forget(self, stream):
+    def _remove(self, stream):
         self.streams.pop((stream.local, stream.remote), None)
 
     def _reset(self, segment):
@@ -85,33 +85,33 @@
 
 @implementer(IHalfCloseableProtocol, IPushProducer)
 class Bridge(Protocol):
-    """A real connection and the stream that it is joined to.
+    """A real connection and the simulated stream that it is bridged to.
 
-    Each side is held back while the other one has much to send still, and the
-    end of either direction is passed on by itself.
+    Applies backpressure: each side is paused while the other one has much unsent
+    data. Each direction is closed independently of the other (half-close).
     """
 
     def __init__(self):
         self.stream = None
-        self.is_read_over = False
-        self.is_write_over = False
-        self.is_lost = False
+        self.is_read_closed = False
+        self.is_write_closed = False
+        self.is_stream_lost = False
 
     def attach(self, stream):
-        """Join to ``stream``, which waits until the real connection stands."""
+        """Attach ``stream``, paused until the real connection is established."""
         self.stream = stream
         if not self.connected:
             stream.pause()
 
     def fail(self):
-        """Give the stream up, as there is no real connection."""
+        """Abort the stream, as the real connection could not be established."""
         self.stream.abort()
 
-    # From the real connection.
+    # Events of the real connection.
 
     def connectionMade(self):  # noqa: N802
-        """Let bytes flow."""
-        if self.is_lost:
+        """Start to transfer data."""
+        if self.is_stream_lost:
             self.transport.abortConnection()
             return
         self.transport.registerProducer(self, True)
@@ -119,63 +119,66 @@
             self.stream.resume()
 
     def dataReceived(self, data):  # noqa: N802
-        """Send bytes over the stream."""
+        """Write received data to the stream."""
         self.stream.write(data)
         if self.stream.unsent > UNSENT_LIMIT_BYTES:
             self.transport.pauseProducing()
 
     def readConnectionLost(self):  # noqa: N802
-        """Close our half of the stream."""
-        self.is_read_over = True
+        """Close the outgoing half of the stream."""
+        self.is_read_closed = True
         self.stream.close()
-        self._close_if_over()
+        self._close_if_finished()
 
     def writeConnectionLost(self):  # noqa: N802
-        """Do nothing: it was the stream that ended this half."""
+        """Do nothing: this half was closed by the stream."""
 
     def connectionLost(self, reason):  # noqa: N802
-        """Reset the stream, unless both halves had ended."""
-        if not (self.is_read_over and self.is_write_over) and not self.is_lost:
+        """Reset the stream, unless both halves were closed."""
+        if (
+            not (self.is_read_closed and self.is_write_closed)
+            and not self.is_stream_lost
+        ):
             self.stream.abort()
 
     def pauseProducing(self):  # noqa: N802
-        """Hold the stream back."""
+        """Pause delivery from the stream."""
         self.stream.pause()
 
     def resumeProducing(self):  # noqa: N802
-        """Let the stream go on."""
+        """Resume delivery from the stream."""
         self.stream.resume()
 
     def stopProducing(self):  # noqa: N802
         """Do nothing: `connectionLost` follows."""
 
-    # From the stream.
+    # Events of the stream.
 
     def stream_opened(self):
-        """Do nothing: bytes flow as soon as there are any."""
+        """Do nothing: data is transferred as soon as there is any."""
 
     def stream_received(self, data):
-        """Write bytes to the real connection."""
+        """Write received data to the real connection."""
         self.transport.write(data)
 
     def stream_finished(self):
-        """Close our half of the real connection."""
-        self.is_write_over = True
+        """Close the outgoing half of the real connection."""
+        self.is_write_closed = True
         self.transport.unregisterProducer()
         self.transport.loseWriteConnection()
-        self._close_if_over()
+        self._close_if_finished()
 
     def stream_drained(self):
-        """Let the real connection go on."""
-        if self.connected and not self.is_read_over:
+        """Resume reading from the real connection."""
+        if self.connected and not self.is_read_closed:
             self.transport.resumeProducing()
 
     def stream_lost(self, reason):
-        """Cut the real connection."""
-        self.is_lost = True
+        """Abort the real connection."""
+        self.is_stream_lost = True
         if self.connected:
             self.transport.abortConnection()
 
-    def _close_if_over(self):
-        if self.is_read_over and self.is_write_over:
+    def _close_if_finished(self):
+        if self.is_read_closed and self.is_write_closed:
             self.transport.loseConnection()
--- a/kumquatshift/standins/capacity.py
+++ b/kumquatshift/standins/capacity.py
@@ -1,4 +1,4 @@
-"""How much work a target bears: few slots, a short queue, a cold start."""
+"""Capacity of a target: concurrent slots, a bounded queue and a warm-up."""
 
 from collections import Counter, deque
 from dataclasses import dataclass
@@ -12,10 +12,10 @@
 
 @dataclass(frozen=True)
 class CapacitySettings:
-    """``slots`` run at once, ``backlog`` wait; times are in seconds.
+    """At most ``slots`` requests run and ``backlog`` wait; times are in seconds.
 
-    ``warm_s`` is the time of work after which a cold target bears its full
-    share; ``retry_s`` is when a refused caller is asked to come back.
+    ``warm_s`` is the accumulated working time after which a cold target reaches
+    its full limit; ``retry_s`` is the retry delay sent with a refusal.
     """
 
     slots: int = 2
@@ -25,19 +25,19 @@
 
     @classmethod
     def from_config(cls, cfg: TargetStandinSection):
-        """Return what a target's settings say of its capacity."""
+        """Return the capacity settings of a target."""
         return cls(cfg.slots, cfg.backlog, cfg.warm_s, cfg.retry_s)
 
 
 class OverloadError(Exception):
-    """The work was refused before any of it was run."""
+    """A request was refused before any of its work ran."""
 
 
 class Capacity:
-    """Runs work in slots, and refuses what goes beyond the limit.
+    """Runs requests in slots, and refuses those beyond the limit.
 
-    The limit counts running and waiting work. A cold target bears one piece of
-    work; the limit then grows in step with the time for which it has worked.
+    The limit covers running and waiting requests. It is one for a cold target, and
+    grows linearly with the time for which the target has worked.
     """
 
     def __init__(self, settings: CapacitySettings, clock):
@@ -50,28 +50,28 @@
 
     @property
     def limit(self):
-        """How many pieces of work are borne now, running and waiting."""
+        """Current maximum of running and waiting requests."""
         full = self.settings.slots + self.settings.backlog
         if not self.settings.warm_s:
             return full
-        warmth = min(1.0, self.worked_s / self.settings.warm_s)
-        return COLD_LIMIT + int(warmth * (full - COLD_LIMIT))
+        warm_fraction = min(1.0, self.worked_s / self.settings.warm_s)
+        return COLD_LIMIT + int(warm_fraction * (full - COLD_LIMIT))
 
     @property
     def held(self):
-        """How many pieces of work are running or waiting."""
+        """Number of running and waiting requests."""
         return self.running + len(self.waiting)
 
     def chill(self):
-        """Turn cold, as after a restart."""
+        """Reset the warm-up, as after a restart."""
         self.worked_s = 0.0
         self.counters["chilled"] += 1
 
     def admit(self):
-        """Take one piece of work in; raise OverloadError when that is too much.
+        """Admit one request; raise OverloadError when the limit is reached.
 
-        Returns a Deferred that fires when a slot is free for it; the caller
-        then runs it and calls `release`.
+        Returns a Deferred that fires when a slot is free; the calling code then does
+        the work and calls `release`.
         """
         if self.held >= self.limit:
             self.counters["overload"] += 1
@@ -80,12 +80,12 @@
         if self.running < self.settings.slots:
             self.running += 1
             return defer.succeed(None)
-        turn = defer.Deferred()
-        self.waiting.append(turn)
-        return turn
+        slot_free = defer.Deferred()
+        self.waiting.append(slot_free)
+        return slot_free
 
     def release(self, worked_s):
-        """End one piece of work that took ``worked_s``; the next one starts."""
+        """End a request that took ``worked_s``, and start the next one waiting."""
         self.worked_s += worked_s
         if self.waiting:
             self.waiting.popleft().callback(None)
@@ -93,7 +93,7 @@
             self.running -= 1
 
     async def run(self, work_s):
-        """Work for ``work_s`` in a slot; raise OverloadError when refused."""
+        """Occupy a slot for ``work_s``; raise OverloadError when refused."""
         await self.admit()
         try:
             await sleep(self.clock, work_s)
--- a/kumquatshift/standins/decapsulator.py
+++ b/kumquatshift/standins/decapsulator.py
@@ -1,8 +1,8 @@
-"""A decapsulating UDP port, as Linux `fou` gives one to a target.
+"""UDP port of a target that decapsulates packets, as Linux `fou` does.
 
-It takes each packet out of its datagram and hands it to the relay of its
-protocol, which plays the target's own stack. Answers go back to the fabric as
-IPv4 packets from the service's address.
+Each packet is taken out of its datagram and passed to the relay of its protocol,
+which stands in for the network stack of the target. Answers are sent to the fabric
+as IPv4 packets whose source is the service address.
 """
 
 from collections import Counter, deque
@@ -12,12 +12,12 @@
 
 from .packets import Endpoint, unpack
 
-PACKETS_KEPT = 20_000
+MAX_ARRIVALS = 20_000
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """When a packet came in, from which host, and of which caller."""
+    """Arrival time of a packet, the host that sent it, and its caller."""
 
     time_s: float
     source: str
@@ -25,21 +25,21 @@
 
 
 class Decapsulator(DatagramProtocol):
-    """Takes packets out of datagrams, and sends answers to the fabric.
+    """Decapsulates packets, and sends answers to the fabric.
 
-    ``relays`` maps the type of a packet, `Datagram` or `Segment`, to what is
-    called with it. A protocol without a relay is counted and dropped.
+    ``relays`` maps the type of a packet, `Datagram` or `Segment`, to the function
+    that handles it. Packets of a protocol without a relay are counted and dropped.
     """
 
     def __init__(self, fabric: Endpoint, clock):
         self.fabric = fabric
         self.clock = clock
         self.relays = {}
-        self.arrivals = deque(maxlen=PACKETS_KEPT)
+        self.arrivals = deque(maxlen=MAX_ARRIVALS)
         self.counters = Counter()
 
     def datagramReceived(self, data, address):  # noqa: N802
-        """Take one encapsulated packet."""
+        """Handle one encapsulated packet."""
         self.counters["received"] += 1
         packet = unpack(data)
         caller = "" if packet is None else str(packet.src)
@@ -54,7 +54,7 @@
         relay(packet)
 
     def answer(self, packet):
-        """Send a packet on its way to the caller, unless the port is closed."""
+        """Send a packet for the caller to the fabric, unless the port is closed."""
         if self.transport is None:
             return
         self.counters["answered"] += 1
--- a/kumquatshift/standins/direct_flows.py
+++ b/kumquatshift/standins/direct_flows.py
@@ -1,9 +1,9 @@
-"""Both ends of a flow with direct return, without any I/O of their own.
+"""Simulated caller and target of a flow with direct server return, without I/O.
 
-A `FlowTarget` answers callers' packets as a host of the users' platform does, a
-`FlowCaller` opens flows and sends requests as its clients do. A request and its
-answer are one packet each; that is enough to show where requests end up, what
-is sent again and when, and what a reset costs.
+A `FlowTarget` answers packets as a host of the users' platform does; a
+`FlowCaller` opens flows and sends requests as a client does. A request and its
+answer are one packet each, which is enough to show which target receives a
+request, what is retransmitted and when, and what a reset costs.
 """
 
 from collections.abc import Callable
@@ -12,20 +12,20 @@
 
 from ..platform.packets import ACK, FIN, HEAD, HEAD_BYTES, RST, SYN
 
-COPIES_AT_S = (0.2, 0.6)
-OPENING_LIMIT_S = 1.4
-FIRST_REPEAT_S = 0.2
-LONGEST_REPEAT_S = 1.6
+SYN_RETRANSMIT_TIMES_S = (0.2, 0.6)
+OPEN_TIMEOUT_S = 1.4
+INITIAL_RETRANSMIT_S = 0.2
+MAX_RETRANSMIT_S = 1.6
 SEQUENCE_MASK = 0xFFFFFFFF
 ANSWER_BYTES = 600
 REQUEST_BYTES = 100
 
-Ends = tuple[bytes, int, bytes, int]
+FourTuple = tuple[bytes, int, bytes, int]
 
 
 @dataclass(frozen=True)
 class Head:
-    """The head of a packet, field by field."""
+    """Header of a packet; ``place`` is its destination address."""
 
     flags: int
     source: bytes
@@ -38,12 +38,12 @@
 
     @classmethod
     def unpack(cls, data: bytes) -> "Head":
-        """Read the head of a packet."""
+        """Parse the header of a packet."""
         _, flags, _, dport, src, sport, dst, echo, _, seq, ack = HEAD.unpack_from(data)
         return cls(flags, src, sport, dst, dport, echo, seq, ack)
 
     def pack(self, data: bytes = b"") -> bytes:
-        """Return the packet with this head and ``data``."""
+        """Return the packet with this header and ``data``."""
         return (
             HEAD.pack(
                 1,
@@ -62,7 +62,7 @@
         )
 
     def back(self, flags: int, seq: int, ack: int) -> "Head":
-        """Return the head of a packet the other way, with the same echo."""
+        """Return the header of a reply, with the same echo."""
         return Head(
             flags,
             self.place,
@@ -76,8 +76,8 @@
 
 
 @dataclass
-class _Held:
-    """A flow as its target holds it."""
+class _TargetFlow:
+    """State that a target keeps for a flow."""
 
     seq: int
     expected: int
@@ -86,10 +86,10 @@
 
 
 class FlowTarget:
-    """One start of a target; ``send`` gives a packet to the caller.
+    """One incarnation of a target; ``send`` sends a packet to the caller.
 
-    It answers nothing while ``is_dark``, and works on each ``mute_every``-th
-    request without ever answering it.
+    While ``is_dark``, it drops all packets and sends none. If `mute_every` is set,
+    every n-th request is processed but never answered.
     """
 
     def __init__(self, clock, key: bytes, send: Callable[[bytes], None], work_s=0.02):
@@ -105,63 +105,63 @@
         self.runs: list[bytes] = []
         self.strays = 0
         self.shed = 0
-        self._flows: dict[Ends, _Held] = {}
+        self._flows: dict[FourTuple, _TargetFlow] = {}
         self._busy = 0
         self._waiting: list[Callable[[], None]] = []
 
     def receive(self, datagram: bytes) -> None:
-        """Take a datagram from an entry."""
+        """Handle a datagram from an entry."""
         if self.is_dark or datagram[:8] not in (self.key, bytes(8)):
             return
         packet = datagram[8:]
         head = Head.unpack(packet)
         ends = (head.source, head.source_port, head.place, head.place_port)
-        held = self._flows.get(ends)
+        flow = self._flows.get(ends)
         if head.flags & SYN:
             self._accept(head, ends)
-        elif held is None:
+        elif flow is None:
             self.strays += 1
             self.send(head.back(RST, 0, 0).pack())
         elif head.flags & RST:
             del self._flows[ends]
         else:
-            self._take(head, held, packet[HEAD_BYTES:])
+            self._receive_data(head, flow, packet[HEAD_BYTES:])
 
     def _accept(self, head, ends):
-        held = self._flows.get(ends)
-        if held is None:
+        flow = self._flows.get(ends)
+        if flow is None:
             self.openings.append(self.clock.seconds())
             seq = int.from_bytes(self.key, "big") * 7919 & SEQUENCE_MASK
-            held = self._flows[ends] = _Held(seq, (head.seq + 1) & SEQUENCE_MASK)
-        self.send(head.back(SYN | ACK, held.seq, held.expected).pack())
+            flow = self._flows[ends] = _TargetFlow(seq, (head.seq + 1) & SEQUENCE_MASK)
+        self.send(head.back(SYN | ACK, flow.seq, flow.expected).pack())
 
-    def _take(self, head, held, data):
-        held.is_open = True
+    def _receive_data(self, head, flow, data):
+        flow.is_open = True
         if not data:
             return
-        if head.seq in held.answers:
-            answer = held.answers[head.seq]
+        if head.seq in flow.answers:
+            answer = flow.answers[head.seq]
             if answer:
                 self.send(answer)
             return
-        held.answers[head.seq] = b""
-        self._run(lambda: self._answer(head, held, data))
+        flow.answers[head.seq] = b""
+        self._submit(lambda: self._answer(head, flow, data))
 
-    def _answer(self, head, held, data):
+    def _answer(self, head, flow, data):
         self.runs.append(data[:16])
         if self.mute_every and len(self.runs) % self.mute_every == 0:
             return
-        self._reply(head, held, data[:16].ljust(ANSWER_BYTES, b"."))
+        self._reply(head, flow, data[:16].ljust(ANSWER_BYTES, b"."))
 
-    def _reply(self, head, held, body):
+    def _reply(self, head, flow, body):
         ack = (head.seq + REQUEST_BYTES) & SEQUENCE_MASK
-        seq = (held.seq + 1 + ANSWER_BYTES * (len(held.answers) - 1)) & SEQUENCE_MASK
+        seq = (flow.seq + 1 + ANSWER_BYTES * (len(flow.answers) - 1)) & SEQUENCE_MASK
         answer = head.back(ACK, seq, ack).pack(body)
-        held.answers[head.seq] = answer
+        flow.answers[head.seq] = answer
         if not self.is_dark:
             self.send(answer)
 
-    def _run(self, job):
+    def _submit(self, job):
         if self._busy < self.slots:
             self._busy += 1
             self.clock.callLater(self.work_s, self._finish, job)
@@ -174,11 +174,11 @@
         self._busy -= 1
         job()
         if self._waiting:
-            self._run(self._waiting.pop(0))
+            self._submit(self._waiting.pop(0))
 
 
 class Outcome(Enum):
-    """How a request ended."""
+    """Outcome of a request."""
 
     ANSWERED = auto()
     RESET = auto()
@@ -188,7 +188,7 @@
 
 @dataclass
 class Request:
-    """One request of a caller, over all its tries."""
+    """One request of a caller, including all its attempts."""
 
     name: bytes
     sent_at: float
@@ -199,14 +199,14 @@
 
     @property
     def took_s(self) -> float:
-        """How long it took to its end."""
+        """Time from first sending the request to its outcome."""
         return self.ended_at - self.sent_at
 
 
 class FlowCaller:
-    """A caller that keeps one flow open and sends one request after another."""
+    """A caller that keeps one flow open and sends requests one at a time."""
 
-    def __init__(self, clock, ends: Ends, send, tries=3, deadline_s=2.0):
+    def __init__(self, clock, ends: FourTuple, send, tries=3, deadline_s=2.0):
         self.clock = clock
         self.requests: list[Request] = []
         self.resets = 0
@@ -223,52 +223,52 @@
         self._timers = []
 
     def ask(self, name: bytes) -> None:
-        """Send a request, over the open flow if there is one."""
+        """Send a request over the open flow, or over a new one."""
         now = self.clock.seconds()
         request = Request(name.ljust(16)[:16], now, now + self._deadline_s)
         self.requests.append(request)
         self._request = request
-        self._later(self._deadline_s, self._end, Outcome.DEADLINE, kept=True)
-        self._try()
+        self._schedule(self._deadline_s, self._end, Outcome.DEADLINE, kept=True)
+        self._start_attempt()
 
     def close(self) -> None:
         """Close the flow, if there is one."""
         if self._is_open:
-            self._packet(FIN | ACK)
+            self._send_packet(FIN | ACK)
         self._drop_flow()
 
     def receive(self, packet: bytes) -> None:
-        """Take a packet that came for this caller."""
+        """Handle a packet addressed to this caller."""
         head = Head.unpack(packet)
         if head.place_port != self._port or not self._has_flow:
             return
         if head.flags & RST:
-            self._reset()
+            self._handle_reset()
             return
         self._echo = head.echo
         if head.flags & SYN:
-            self._opened(head)
+            self._handle_syn_ack(head)
         elif self._request and packet[HEAD_BYTES:][:16] == self._request.name:
             self._seq = head.ack
             self._ack = (head.seq + ANSWER_BYTES) & SEQUENCE_MASK
-            self._packet(ACK)
+            self._send_packet(ACK)
             self._end(Outcome.ANSWERED)
 
-    def _try(self):
+    def _start_attempt(self):
         self._request.tries += 1
         if self._is_open:
-            self._send_request(FIRST_REPEAT_S)
+            self._send_request(INITIAL_RETRANSMIT_S)
             return
         self._port += 1
         self._has_flow = True
         self._echo = 0
         self._seq = self._port * 104_729 & SEQUENCE_MASK
-        self._packet(SYN)
-        for copy, after_s in enumerate(COPIES_AT_S, 1):
-            self._later(after_s, self._packet, SYN, copy)
-        self._later(OPENING_LIMIT_S, self._not_opened)
+        self._send_packet(SYN)
+        for copy, after_s in enumerate(SYN_RETRANSMIT_TIMES_S, 1):
+            self._schedule(after_s, self._send_packet, SYN, copy)
+        self._schedule(OPEN_TIMEOUT_S, self._handle_open_timeout)
 
-    def _opened(self, head):
+    def _handle_syn_ack(self, head):
         if self._is_open:
             return
         self._is_open = True
@@ -276,15 +276,15 @@
         self._seq = head.ack
         self._ack = (head.seq + 1) & SEQUENCE_MASK
         if self._request:
-            self._send_request(FIRST_REPEAT_S)
+            self._send_request(INITIAL_RETRANSMIT_S)
 
-    def _send_request(self, repeat_s):
+    def _send_request(self, interval_s):
         data = self._request.name.ljust(REQUEST_BYTES, b".")
-        self._packet(ACK, data=data)
-        longer_s = min(LONGEST_REPEAT_S, repeat_s * 2)
-        self._later(repeat_s, self._send_request, longer_s)
+        self._send_packet(ACK, data=data)
+        next_interval_s = min(MAX_RETRANSMIT_S, interval_s * 2)
+        self._schedule(interval_s, self._send_request, next_interval_s)
 
-    def _packet(self, flags, copy=0, data=b""):
+    def _send_packet(self, flags, copy=0, data=b""):
         ack = copy if flags == SYN else self._ack
         head = Head(
             flags,
@@ -298,21 +298,21 @@
         )
         self._send(head.pack(data))
 
-    def _reset(self):
+    def _handle_reset(self):
         self.resets += 1
         was_open = self._is_open
         self._drop_flow()
         if self._request is None:
             return
-        self._again(Outcome.RESET if was_open else Outcome.NOT_OPENED)
+        self._retry(Outcome.RESET if was_open else Outcome.NOT_OPENED)
 
-    def _not_opened(self):
+    def _handle_open_timeout(self):
         self._drop_flow()
-        self._again(Outcome.NOT_OPENED)
+        self._retry(Outcome.NOT_OPENED)
 
-    def _again(self, outcome):
+    def _retry(self, outcome):
         if self._request.tries < self._tries:
-            self._try()
+            self._start_attempt()
         else:
             self._end(outcome)
 
@@ -330,14 +330,14 @@
         self._is_open = self._has_flow = False
         self._cancel(all_timers=False)
 
-    def _later(self, after_s, call, *args, kept=False):
+    def _schedule(self, after_s, call, *args, kept=False):
         self._timers.append((self.clock.callLater(after_s, call, *args), kept))
 
     def _cancel(self, all_timers):
-        left = []
+        remaining = []
         for timer, kept in self._timers:
             if kept and not all_timers:
-                left.append((timer, kept))
+                remaining.append((timer, kept))
             elif timer.active():
                 timer.cancel()
-        self._timers = left
+        self._timers = remaining
--- a/kumquatshift/standins/fabric.py
+++ b/kumquatshift/standins/fabric.py
@@ -1,9 +1,9 @@
-"""Stand-in for the fabric between callers, entries and targets.
+"""Stand-in for the network fabric between callers, entries and targets.
 
-It owns the callers' side: it listens at the service addresses, turns what
-callers send into IPv4 packets and hands each one to any ready entry. Packets
-from entries go out to the caller from the service's address. Packets from
-targets are on their way back, and are handed to any ready entry as well.
+It listens at the service addresses, converts the traffic of callers to IPv4
+packets and forwards each packet to a random ready entry. Packets from entries are
+delivered to the caller from the service address. Packets from targets, on the
+return path, are forwarded to a random ready entry as well.
 """
 
 import random
@@ -40,17 +40,17 @@
         self.receive = receive
 
     def startProtocol(self):  # noqa: N802
-        """Make room for bursts."""
+        """Enlarge the receive buffer, so that bursts are not dropped."""
         sock = self.transport.getHandle()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SOCKET_BUFFER_BYTES)
 
     def datagramReceived(self, data, address):  # noqa: N802
-        """Hand the datagram on."""
+        """Pass the datagram to ``receive``."""
         self.receive(data, address)
 
 
 class CallerConnection(Bridge):
-    """A caller's real connection, which is opened as a stream to the service."""
+    """Real connection of a caller, bridged to a stream to the service."""
 
     def __init__(self, service: Endpoint, table: StreamTable):
         super().__init__()
@@ -58,7 +58,7 @@
         self.table = table
 
     def connectionMade(self):  # noqa: N802
-        """Open the stream, from the caller's own address."""
+        """Open the stream with the address of the caller as its source."""
         peer = self.transport.getPeer()
         caller = Endpoint(peer.host, peer.port)
         self.attach(self.table.connect(caller, self.service, self))
@@ -75,12 +75,12 @@
         self.table = table
 
     def buildProtocol(self, addr):  # noqa: N802
-        """Return what joins one connection to its stream."""
+        """Return the protocol that bridges one connection to its stream."""
         return CallerConnection(self.service, self.table)
 
 
 class Fabric:
-    """The fabric; ``start`` opens its ports on ``reactor``."""
+    """The fabric stand-in; ``start`` opens its ports on ``reactor``."""
 
     def __init__(self, settings: FabricStandinSettings, reactor):
         self.settings = settings
@@ -88,7 +88,7 @@
         self.counters = Counter()
         self.callers = {}
         self.ports = []
-        self.entry_side = Receiver(self.from_entry)
+        self.entry_receiver = Receiver(self.from_entry)
         self.spray = Spray(
             {entry.name: entry.address for entry in settings.entries.members},
             Faults.from_config(settings.fabric),
@@ -97,12 +97,12 @@
             self._send_entry,
         )
         self.streams = StreamTable(reactor, self._send_segment)
-        self.checks = ReadyChecks(self.spray, self._fetch_ready, reactor)
+        self.readiness_checks = ReadyChecks(self.spray, self._fetch_ready, reactor)
 
     def start(self):
-        """Open all ports and begin to ask the entries."""
+        """Open all ports and start the readiness checks of the entries."""
         host = self.settings.fabric.address
-        self._listen_udp(Endpoint(host, PACKET_PORT), self.entry_side)
+        self._listen_udp(Endpoint(host, PACKET_PORT), self.entry_receiver)
         self._listen_udp(Endpoint(host, TARGET_PORT), Receiver(self.from_target))
         self._listen_tcp(Endpoint(host, ADMIN_PORT), admin_site(self.dump))
         for service in self.settings.services.members:
@@ -111,12 +111,12 @@
                 self._listen_callers(endpoint)
             else:
                 self._accept_callers(endpoint)
-        self.checks.start()
-        log.info("The fabric starts at {}.", host)
+        self.readiness_checks.start()
+        log.info("Fabric stand-in started at {}.", host)
 
     def stop(self):
-        """Close all ports; returns a Deferred."""
-        self.checks.stop()
+        """Reset all streams and close all ports; return a Deferred."""
+        self.readiness_checks.stop()
         self.streams.abort_all()
         return stop_ports(self.ports)
 
@@ -146,7 +146,7 @@
         self.spray.pass_on(TO_TARGETS, segment.pack())
 
     def _send_entry(self, host, packet):
-        self.entry_side.transport.write(packet, (host, PACKET_PORT))
+        self.entry_receiver.transport.write(packet, (host, PACKET_PORT))
 
     async def _fetch_ready(self, host):
         response = await treq.get(
@@ -159,16 +159,16 @@
         return response.code
 
     def from_caller(self, service, data, address):
-        """Take a caller's datagram to ``service``."""
+        """Forward a datagram that a caller sent to ``service``."""
         packet = Datagram(Endpoint(*address), service, data).pack()
         self.spray.pass_on(TO_TARGETS, packet)
 
     def from_target(self, data, address):
-        """Take a target's packet on its way to a caller."""
+        """Forward a packet that a target sent to a caller."""
         self.spray.pass_on(TO_CALLERS, data)
 
     def from_entry(self, data, address):
-        """Give what an entry's packet carries to its caller."""
+        """Deliver the payload of a packet from an entry to its caller."""
         packet = unpack(data)
         if packet is None:
             self.counters["from-entries.malformed"] += 1
@@ -176,9 +176,9 @@
             self.counters["from-entries.delivered"] += 1
             self.streams.receive(packet)
         else:
-            self._give_caller(packet)
+            self._deliver(packet)
 
-    def _give_caller(self, datagram):
+    def _deliver(self, datagram):
         receiver = self.callers.get(datagram.src)
         if receiver is None:
             self.counters["from-entries.unknown-service"] += 1
@@ -188,11 +188,11 @@
         receiver.transport.write(datagram.payload, (caller.host, caller.port))
 
     def dump(self):
-        """Return the whole state."""
+        """Return the state as shown on the admin port."""
         return {
             "name": "fabric",
             "ready": list(self.spray.ready),
-            "misses": dict(self.checks.misses),
+            "misses": dict(self.readiness_checks.misses),
             "streams": len(self.streams.streams),
             "counters": {
                 **self.counters,
@@ -203,7 +203,7 @@
 
 
 def serve(settings: FabricStandinSettings, reactor):
-    """Start a fabric on ``reactor``; return it."""
+    """Start a fabric stand-in on ``reactor``; return it."""
     fabric = Fabric(settings, reactor)
     fabric.start()
     return fabric
--- a/kumquatshift/standins/load.py
+++ b/kumquatshift/standins/load.py
@@ -1,4 +1,4 @@
-"""What a target says of its own load; it may lag, and it may mislead."""
+"""Load report of a target, optionally delayed and scaled to be misleading."""
 
 from collections import deque
 from dataclasses import dataclass
@@ -12,19 +12,19 @@
 
 @dataclass(frozen=True)
 class LoadSettings:
-    """``load_lag_s`` is how old the report is; ``load_factor`` scales it."""
+    """``load_lag_s`` is the age of the reported load; ``load_factor`` scales it."""
 
     load_lag_s: float = 0.0
     load_factor: float = 1.0
 
     @classmethod
     def from_config(cls, cfg: TargetStandinSection):
-        """Return what a target's settings say of its report."""
+        """Return the load report settings of a target."""
         return cls(cfg.load_lag_s, cfg.load_factor)
 
 
 class LoadReport:
-    """Samples the load of a target, and tells it with the lag that is set."""
+    """Samples the load of a target, and reports it with the configured lag."""
 
     def __init__(self, settings: LoadSettings, capacity, clock):
         self.settings = settings
@@ -35,19 +35,19 @@
         self.loop.clock = clock
 
     def start(self):
-        """Begin to sample."""
+        """Start sampling."""
         self.loop.start(SAMPLE_PERIOD_S)
 
     def stop(self):
-        """Sample no more."""
+        """Stop sampling."""
         self.loop.stop()
 
     def sample(self):
-        """Note the load of this moment."""
+        """Record the current load."""
         self.samples.append(self.capacity.held)
 
     def read(self):
-        """Return the report: work held, and how many slots there are."""
+        """Return the report: running and waiting requests, and number of slots."""
         return {
             "held": self.samples[0] * self.settings.load_factor,
             "slots": self.capacity.settings.slots,
--- a/kumquatshift/standins/metadata_store.py
+++ b/kumquatshift/standins/metadata_store.py
@@ -1,8 +1,8 @@
-"""Stand-in for the metadata store of the users' platform, with its faults.
+"""Stand-in for the metadata store of the users' platform, with fault injection.
 
-It keeps objects by kind and name, counts one revision up with each change, and
-answers lists in pages and watches that wait. `StoreFaults` says what goes wrong
-at present, for all callers or for some addresses only.
+It keeps objects by kind and name, increments a single revision with each change,
+and serves paged lists and long-polling watches. `StoreFaults` defines the injected
+faults, for all callers or for those at some addresses only.
 """
 
 import json
@@ -11,22 +11,23 @@
 from twisted.web.resource import Resource
 from twisted.web.server import NOT_DONE_YET, Site
 
-LONGEST_WAIT_MS = 30_000
-PAGE_ITEMS = 50
+MAX_WAIT_MS = 30_000
+PAGE_SIZE = 50
 
-# An answer over a slow link comes in so many pieces.
-PIECES = 8
+# A response over a slow link is sent in this many chunks.
+BODY_CHUNKS = 8
 
 
 @dataclass
 class StoreFaults:
-    """What goes wrong at present.
-
-    ``refuse`` is the status given in place of an answer, 0 for none. ``silent``
-    takes calls and never answers; ``reset`` cuts the connection at once. An
-    answer begins after ``latency_s`` and comes in pieces over ``sending_s``.
-    ``cut_answers`` of the next answers are broken off midway, ``garble_answers``
-    are no JSON. ``only`` limits all of them to callers at these addresses.
+    """Faults that are currently injected.
+
+    ``refuse`` is an HTTP status with which all calls fail, 0 for none. ``silent``
+    accepts calls and never responds; ``reset`` aborts the connection at once. A
+    response starts after ``latency_s`` and is sent in chunks over ``sending_s``.
+    The next ``cut_answers`` responses are truncated and the connection closed; the
+    next ``garble_answers`` ones are invalid JSON. If ``only`` is not empty, the
+    faults apply only to callers at these addresses.
     """
 
     refuse: int = 0
@@ -41,7 +42,7 @@
 
 @dataclass
 class MetadataStore:
-    """The objects, their revisions, and what has changed lately."""
+    """Objects, their revisions, and the history of recent changes."""
 
     revision: int = 1
     oldest: int = 0
@@ -49,7 +50,7 @@
     history: list[tuple[int, str, dict, bool]] = field(default_factory=list)
 
     def put(self, kind: str, name: str, spec: object) -> None:
-        """Write an object; nothing happens if that changes nothing."""
+        """Write an object; do nothing if its spec is unchanged."""
         old = self.objects.get((kind, name))
         if old is not None and old["spec"] == spec:
             return
@@ -66,30 +67,30 @@
         self.history.append((self.revision, kind, obj, False))
 
     def delete(self, kind: str, name: str) -> None:
-        """Delete an object, if there is one."""
+        """Delete an object if it exists."""
         obj = self.objects.pop((kind, name), None)
         if obj is not None:
             self.revision += 1
             self.history.append((self.revision, kind, obj, True))
 
     def compact(self) -> None:
-        """Forget the history."""
+        """Drop the history; watches from older revisions then fail."""
         self.history.clear()
         self.oldest = self.revision
 
     def page(self, kind: str, after: str) -> dict:
-        """Return a page of the objects of a kind with names after ``after``."""
+        """Return one page of the objects of a kind whose names sort after ``after``."""
         found = sorted(
             (name, obj)
             for (each, name), obj in self.objects.items()
             if each == kind and name > after
         )
-        items = [obj for _, obj in found[:PAGE_ITEMS]]
-        more = len(found) > PAGE_ITEMS
+        items = [obj for _, obj in found[:PAGE_SIZE]]
+        more = len(found) > PAGE_SIZE
         return {"items": items, "more": more, "currentRev": self.revision}
 
     def since(self, kind: str, revision: int) -> list[dict]:
-        """Return the events of a kind after ``revision``."""
+        """Return the events for a kind since ``revision``."""
         return [
             {"object": obj, "deleted": deleted}
             for at, each, obj, deleted in self.history
@@ -98,7 +99,7 @@
 
 
 class StoreApi(Resource):
-    """The HTTP face of the store."""
+    """HTTP API of the store."""
 
     isLeaf = True  # noqa: N815
 
@@ -109,31 +110,31 @@
         self.calls: list[str] = []
         self.callers: list[str] = []
         self._reactor = reactor
-        self._watches: list[_Waiting] = []
+        self._watches: list[_PendingWatch] = []
 
     def put(self, kind: str, name: str, spec: object) -> None:
-        """Write an object, and tell those who watch."""
+        """Write an object, and notify the watches."""
         self.store.put(kind, name, spec)
-        self._tell()
+        self._notify_watches()
 
     def delete(self, kind: str, name: str) -> None:
-        """Delete an object, and tell those who watch."""
+        """Delete an object, and notify the watches."""
         self.store.delete(kind, name)
-        self._tell()
+        self._notify_watches()
 
     def compact(self) -> None:
-        """Forget the history, and cut those who watch."""
+        """Drop the history, and abort the connections of all watches."""
         self.store.compact()
-        for waiting in list(self._watches):
-            waiting.request.transport.abortConnection()
+        for watch in list(self._watches):
+            watch.request.transport.abortConnection()
 
     def hush(self) -> None:
-        """Let all open watches go silent for good."""
-        for waiting in list(self._watches):
-            waiting.hush()
+        """Stop all open watches from ever responding; keep their connections open."""
+        for watch in list(self._watches):
+            watch.hush()
 
     def render_GET(self, request):  # noqa: N802
-        """Answer a list or a watch, or fail as told."""
+        """Respond to a list or watch call, or inject a fault."""
         caller = request.transport.getPeer().host
         self.calls.append(request.uri.decode())
         self.callers.append(caller)
@@ -165,27 +166,27 @@
             request.setResponseCode(410)
             self._send(request, {})
             return
-        wait_ms = min(int(args.get("waitMs", "0")), LONGEST_WAIT_MS)
-        waiting = _Waiting(self, request, kind, revision)
-        if not waiting.tell():
-            self._watches.append(waiting)
-            waiting.limit = self._reactor.callLater(wait_ms / 1000, waiting.end)
+        wait_ms = min(int(args.get("waitMs", "0")), MAX_WAIT_MS)
+        watch = _PendingWatch(self, request, kind, revision)
+        if not watch.send_events():
+            self._watches.append(watch)
+            watch.timeout = self._reactor.callLater(wait_ms / 1000, watch.expire)
 
-    def _tell(self):
+    def _notify_watches(self):
         if self.faults.silent and not self.faults.only:
             return
-        for waiting in list(self._watches):
-            waiting.tell()
+        for watch in list(self._watches):
+            watch.send_events()
 
-    def forget(self, waiting):
-        """Drop a watch that is over."""
-        if waiting in self._watches:
-            self._watches.remove(waiting)
+    def discard(self, watch):
+        """Remove a finished watch."""
+        if watch in self._watches:
+            self._watches.remove(watch)
 
     def _send(self, request, value):
         body = json.dumps(value).encode()
         if request.channel is None:
-            return  # The caller has given up.
+            return  # The caller has disconnected.
         if self.faults.cut_answers:
             self.faults.cut_answers -= 1
             request.setHeader("content-length", str(len(body)))
@@ -198,59 +199,59 @@
         request.setHeader("content-type", "application/json")
         request.setHeader("content-length", str(len(body)))
         if self.faults.sending_s:
-            self._send_pieces(request, body)
+            self._send_chunks(request, body)
             return
         request.write(body)
         request.finish()
 
-    def _send_pieces(self, request, body):
-        size = -(-len(body) // PIECES)
-        gap_s = self.faults.sending_s / PIECES
+    def _send_chunks(self, request, body):
+        size = -(-len(body) // BODY_CHUNKS)
+        interval_s = self.faults.sending_s / BODY_CHUNKS
         later = self._reactor.callLater
         calls = [
-            later(n * gap_s, request.write, body[n * size : (n + 1) * size])
-            for n in range(PIECES)
+            later(n * interval_s, request.write, body[n * size : (n + 1) * size])
+            for n in range(BODY_CHUNKS)
         ]
-        calls.append(later(PIECES * gap_s, request.finish))
+        calls.append(later(BODY_CHUNKS * interval_s, request.finish))
         request.notifyFinish().addErrback(lambda _: _cancel(calls))
 
     def send(self, request, value):
-        """Answer a call."""
+        """Send ``value`` as the response to a call."""
         self._send(request, value)
 
 
-class _Waiting:
-    """One watch that waits for a change."""
+class _PendingWatch:
+    """A long-polling watch that waits for a change."""
 
     def __init__(self, api, request, kind, revision):
         self.api = api
         self.request = request
         self.kind = kind
         self.revision = revision
-        self.limit = None
-        request.notifyFinish().addBoth(lambda _: self.forget())
+        self.timeout = None
+        request.notifyFinish().addBoth(lambda _: self.discard())
 
-    def tell(self):
+    def send_events(self):
         events = self.api.store.since(self.kind, self.revision)
         if events:
             self._send(events)
         return bool(events)
 
-    def end(self):
+    def expire(self):
         if not self.api.faults.silent:
             self._send(self.api.store.since(self.kind, self.revision))
 
     def hush(self):
-        """Say nothing any more, and keep the connection open."""
-        self.forget()
+        """Never respond, and keep the connection open."""
+        self.discard()
 
-    def forget(self):
-        self.api.forget(self)
-        if self.limit is not None and self.limit.active():
-            self.limit.cancel()
+    def discard(self):
+        self.api.discard(self)
+        if self.timeout is not None and self.timeout.active():
+            self.timeout.cancel()
 
     def _send(self, events):
-        self.forget()
+        self.discard()
         value = {"events": events, "currentRev": self.api.store.revision}
         self.api.send(self.request, value)
 
@@ -262,6 +263,6 @@
 
 
 def serve(reactor, address: str, port: int) -> tuple[StoreApi, object]:
-    """Serve an empty store; return its face and the listening port."""
+    """Serve an empty store; return its API and the listening port."""
     api = StoreApi(reactor)
     return api, reactor.listenTCP(port, Site(api), interface=address)
--- a/kumquatshift/standins/packets.py
+++ b/kumquatshift/standins/packets.py
@@ -18,7 +18,7 @@
 
     @classmethod
     def from_text(cls, text):
-        """Read ``HOST:PORT``; raise ValueError when it is anything else."""
+        """Parse ``HOST:PORT``; raise ValueError if the text is anything else."""
         host, separator, port = text.strip().rpartition(":")
         if not separator or not port.isdigit() or not 0 < int(port) < 65536:
             raise ValueError(f"expected HOST:PORT, found {text!r}")
@@ -34,14 +34,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Datagram:
-    """One UDP datagram with both of its ends."""
+    """One UDP datagram with its source and destination."""
 
     src: Endpoint
     dst: Endpoint
     payload: bytes
 
     def pack(self):
-        """Return the IPv4 packet, checksums included."""
+        """Return the IPv4 packet with valid checksums."""
         udp = dpkt.udp.UDP(sport=self.src.port, dport=self.dst.port, data=self.payload)
         udp.ulen = len(udp)
         return pack_ip(self.src, self.dst, dpkt.ip.IP_PROTO_UDP, udp)
@@ -49,10 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Segment:
-    """One TCP segment with both of its ends (RFC 9293, section 3.1).
+    """One TCP segment with its source and destination (RFC 9293, section 3.1).
 
-    ``seq`` and ``ack`` are taken modulo 2**32; ``ack`` is None in a segment
-    that acknowledges nothing.
+    ``seq`` and ``ack`` are taken modulo 2**32; ``ack`` is None in a segment without
+    the ACK flag.
     """
 
     src: Endpoint
@@ -67,12 +67,12 @@
 
     @property
     def length(self):
-        """How many sequence numbers the segment takes up."""
+        """Number of sequence numbers that the segment occupies."""
         return len(self.payload) + self.syn + self.fin
 
     @property
     def flags(self):
-        """The flags byte."""
+        """Flags byte of the TCP header."""
         return (
             dpkt.tcp.TH_SYN * self.syn
             | dpkt.tcp.TH_FIN * self.fin
@@ -81,7 +81,7 @@
         )
 
     def pack(self):
-        """Return the IPv4 packet, checksums included."""
+        """Return the IPv4 packet with valid checksums."""
         tcp = dpkt.tcp.TCP(
             sport=self.src.port,
             dport=self.dst.port,
@@ -95,7 +95,7 @@
 
     @classmethod
     def from_tcp(cls, src, dst, tcp):
-        """Return the segment of a parsed TCP header."""
+        """Return the segment for a parsed TCP header."""
         return cls(
             src,
             dst,
@@ -123,10 +123,10 @@
 
 
 def unpack(data) -> Datagram | Segment | None:
-    """Read an IPv4 packet as a receiving host does.
+    """Parse an IPv4 packet as a receiving host does.
 
-    Returns None when it is malformed, a fragment, or not of UDP or TCP, or
-    when a checksum is wrong.
+    Returns None if it is malformed, a fragment, neither UDP nor TCP, or has an
+    invalid checksum.
     """
     try:
         ip = dpkt.ip.IP(data)
@@ -145,7 +145,7 @@
 
 
 def is_intact(data, ip):
-    """Tell whether the checksums of a packet are right; UDP may leave it out."""
+    """Return whether the checksums of a packet are valid; UDP may omit its own."""
     header, body = data[: ip.hl * 4], data[ip.hl * 4 :]
     if dpkt.in_cksum(header):
         return False
--- a/kumquatshift/standins/platform.py
+++ b/kumquatshift/standins/platform.py
@@ -1,11 +1,11 @@
-"""Stand-in for the platform: its object API, its list of VMs, and its faults.
+"""Stand-in for the platform: its object API, its VM list, and fault injection.
 
-The API is that of docs/CONVENTIONS.md. ``POST /faults`` switches faults on and
-off; a field that is left out keeps its value::
+The API is specified in docs/CONVENTIONS.md. ``POST /faults`` switches faults on
+and off; omitted fields keep their values::
 
     curl -d '{"outage": true}' http://127.0.0.10:8400/faults
 
-Nothing is kept: a stand-in that starts again is empty.
+State is kept in memory only and is lost on restart.
 """
 
 import json
@@ -21,7 +21,7 @@
 from .platform_faults import Faults
 from .platform_settings import PlatformSettings, VmRow
 from .platform_store import NO_OBJECT, Refused, Store
-from .platform_watch import WatchStream, cut
+from .platform_watch import WatchStream, abort
 
 MAX_BODY_BYTES = 1024 * 1024
 
@@ -29,7 +29,7 @@
 
 
 class Api(Resource):
-    """The whole HTTP face of the stand-in."""
+    """HTTP API of the stand-in."""
 
     isLeaf = True  # noqa: N815
 
@@ -44,23 +44,23 @@
         self.watches = set()
 
     def render(self, request):
-        """Route a request; faults apply to the API but not to their switches."""
+        """Route a request; faults apply to paths under ``/v1`` only."""
         path = [part.decode() for part in request.postpath if part]
         if path[:1] != ["v1"]:
-            return self._render_own(request, path)
+            return self._render_admin(request, path)
         if path == ["v1", "vms"] and request.method == b"POST":
-            return self._guard(request, self._post_vms, request)
+            return self._respond(request, self._post_vms, request)
         self.calls[_call_name(request.method, path)] += 1
         if self.faults.latency_s:
-            alive = _Alive(request)
+            connection = _ConnectionState(request)
             self.reactor.callLater(
-                self.faults.latency_s, self._finish_late, alive, request, path
+                self.faults.latency_s, self._finish_late, connection, request, path
             )
             return NOT_DONE_YET
         return self._render_api(request, path)
 
-    def _finish_late(self, alive, request, path):
-        if not alive.connected:
+    def _finish_late(self, connection, request, path):
+        if not connection.connected:
             return
         answer = self._render_api(request, path)
         if answer is not NOT_DONE_YET:
@@ -70,9 +70,9 @@
     def _render_api(self, request, path):
         if self.faults.outage:
             return _json(request, {"error": "outage"}, 503)
-        return self._guard(request, self._answer, request, path)
+        return self._respond(request, self._answer, request, path)
 
-    def _guard(self, request, call, *args):
+    def _respond(self, request, call, *args):
         try:
             answer = call(*args)
         except Refused as exc:
@@ -97,11 +97,11 @@
                 return {"items": [asdict(row) for row in self.vms]}
         raise Refused(404, {"error": "no such path"})
 
-    def _seen_version(self):
+    def _visible_version(self):
         return max(0, self.store.version - self.faults.stale_versions)
 
     def _list(self, request):
-        version = self._seen_version()
+        version = self._visible_version()
         kind = request.args.get(b"kind", [b""])[0].decode()
         items = [
             obj
@@ -112,20 +112,20 @@
 
     def _read(self, kind, name):
         key = (kind, name)
-        version = self._seen_version()
+        version = self._visible_version()
         found = self.store.live(key, version)
         if found is None:
-            gone = self.store.at(version).get(key)
-            raise Refused(404, gone or NO_OBJECT)
+            tombstone = self.store.at(version).get(key)
+            raise Refused(404, tombstone or NO_OBJECT)
         return found
 
     def _change(self, request, key):
-        expected = _expected(request)
+        expected = _expected_version(request)
         if request.method == b"PUT":
-            value = _object_of(request, key)
+            value = _parse_object(request, key)
         if self.faults.lose_requests:
-            self._lose("lose_requests")
-            cut(request)
+            self._decrement_fault("lose_requests")
+            abort(request)
             return NOT_DONE_YET
         if request.method == b"PUT":
             operation = value.get("operation", "")
@@ -135,15 +135,15 @@
             obj = self.store.delete(key, expected, operation)
         self._publish()
         if self.faults.lose_answers:
-            self._lose("lose_answers")
-            cut(request)
+            self._decrement_fault("lose_answers")
+            abort(request)
             return NOT_DONE_YET
         if self.faults.garble_answers:
-            self._lose("garble_answers")
+            self._decrement_fault("garble_answers")
             return {"kind": key[0]}
         return obj
 
-    def _lose(self, name):
+    def _decrement_fault(self, name):
         self.faults = replace(self.faults, **{name: getattr(self.faults, name) - 1})
 
     def _watch(self, request):
@@ -159,7 +159,7 @@
 
     def _publish(self):
         for watch in list(self.watches):
-            watch.tell()
+            watch.send_changes()
 
     def _post_vms(self, request):
         value = _parse(request)
@@ -169,32 +169,32 @@
         return {"lag_s": self.lag_s}
 
     def change_vms(self, rows):
-        """Show other VMs once the list's lag is over."""
+        """Replace the VM list, after its configured lag."""
         if self.lag_s:
             self.reactor.callLater(self.lag_s, setattr, self, "vms", rows)
         else:
             self.vms = rows
 
-    def _render_own(self, request, path):
+    def _render_admin(self, request, path):
         match request.method, path:
             case b"GET", ["ready"]:
                 return _json(request, {"ready": True})
             case b"GET", ["dump"]:
                 return _json(request, self.dump())
             case b"POST", ["faults"]:
-                return self._guard(request, self._change_faults, request)
+                return self._respond(request, self._change_faults, request)
         return _json(request, {"error": "no such path"}, 404)
 
     def _change_faults(self, request):
         self.faults = self.faults.changed(_parse(request))
-        log.info("The faults are now {}.", self.faults)
+        log.info("Injected faults changed to {}.", self.faults)
         if self.faults.outage:
             for watch in list(self.watches):
-                watch.cut()
+                watch.abort()
         return asdict(self.faults)
 
     def dump(self):
-        """Return the whole state in figures."""
+        """Return the state as shown by ``GET /dump``."""
         objects = self.store.objects.values()
         return {
             "version": self.store.version,
@@ -207,8 +207,8 @@
         }
 
 
-class _Alive:
-    """Whether a request's connection still stands."""
+class _ConnectionState:
+    """Tracks whether the connection of a request is still open."""
 
     def __init__(self, request):
         self.connected = True
@@ -220,20 +220,20 @@
 
 @dataclass(frozen=True)
 class PlatformServer:
-    """A stand-in that runs."""
+    """A running stand-in."""
 
     api: Api
     port: object
 
     def stop(self):
-        """Stop listening and cut the watches; returns a Deferred."""
+        """Abort the watches and stop listening; return a Deferred."""
         for watch in list(self.api.watches):
-            watch.cut()
+            watch.abort()
         return self.port.stopListening()
 
 
 def serve(settings: PlatformSettings, reactor) -> PlatformServer:
-    """Listen as the settings say; an address in use raises CannotListenError."""
+    """Start to listen; raise CannotListenError if the address is in use."""
     api = Api(settings, reactor)
     site = Site(api)
     if settings.certificate:
@@ -243,7 +243,7 @@
         )
     else:
         port = reactor.listenTCP(settings.port, site, interface=settings.address)
-    log.info("The platform listens on {} port {}.", settings.address, settings.port)
+    log.info("Platform stand-in listening on {}:{}.", settings.address, settings.port)
     return PlatformServer(api, port)
 
 
@@ -268,7 +268,7 @@
     return json.dumps(value).encode()
 
 
-def _expected(request):
+def _expected_version(request):
     text = request.getHeader("if-match")
     try:
         version = int(text or "")
@@ -286,7 +286,7 @@
     return json.loads(data)
 
 
-def _object_of(request, key):
+def _parse_object(request, key):
     value = _parse(request)
     if not isinstance(value, dict) or not isinstance(value.get("body"), dict):
         raise ValueError("body: allowed: an object")
--- a/kumquatshift/standins/platform_faults.py
+++ b/kumquatshift/standins/platform_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the platform stand-in, switched on and off while it runs."""
+"""Injected faults of the platform stand-in, changeable at run time."""
 
 from dataclasses import dataclass, fields, replace
 
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True)
 class Faults:
-    """What goes wrong at present.
-
-    ``outage`` answers every call with 503 and cuts the watches. ``latency_s``
-    delays every answer. The next ``lose_answers`` writes take effect and their
-    connection is cut; the next ``lose_requests`` ones are cut without effect; the
-    answers of the next ``garble_answers`` ones lack most of the object. Reads are
-    ``stale_versions`` behind. ``hang_watches`` keeps watches open and says nothing
-    on them.
+    """Faults that are currently injected.
+
+    ``outage`` fails every call with status 503 and aborts the watches. ``latency_s``
+    delays every response. The next ``lose_answers`` writes are applied, but their
+    connection is aborted before the response; the next ``lose_requests`` writes are
+    aborted without being applied; the responses to the next ``garble_answers``
+    writes lack most of the object. Reads lag ``stale_versions`` versions behind.
+    ``hang_watches`` keeps watches open without sending anything on them.
     """
 
     outage: bool = False
@@ -28,7 +28,7 @@
     hang_watches: bool = False
 
     def changed(self, value: object) -> "Faults":
-        """Return the faults with the fields of a JSON object changed."""
+        """Return the faults updated with the fields of a JSON object."""
         if not isinstance(value, dict):
             raise ValueError("allowed: an object")
         checks = {
@@ -42,9 +42,11 @@
                 raise ValueError(f"{key}: allowed fields: {', '.join(types)}")
             check = checks[types[key]]
             try:
-                good = isinstance(found, bool) if check is None else check.read(found)
+                accepted = (
+                    isinstance(found, bool) if check is None else check.read(found)
+                )
             except Invalid as exc:
                 raise ValueError(f"{key}: {check.allowed}") from exc
-            if good is False:
+            if accepted is False:
                 raise ValueError(f"{key}: allowed: true, false")
         return replace(self, **value)
--- a/kumquatshift/standins/platform_settings.py
+++ b/kumquatshift/standins/platform_settings.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True)
 class VmRow:
-    """One VM as the platform lists it."""
+    """One VM in the VM list of the platform."""
 
     name: str
     domain: str
@@ -20,7 +20,7 @@
 
     @classmethod
     def from_json(cls, value: Mapping) -> "VmRow":
-        """Read one item of the list."""
+        """Parse one item of the VM list."""
         try:
             return cls.checked(cls(**value))
         except TypeError as exc:
@@ -28,7 +28,7 @@
 
     @staticmethod
     def checked(row: "VmRow") -> "VmRow":
-        """Return the row if all its fields are text and its state is known."""
+        """Return the row; raise ValueError on a non-text field or an unknown state."""
         if not all(isinstance(text, str) for text in asdict(row).values()):
             raise ValueError(f"{shown(asdict(row))}; allowed: text in every field")
         if row.state not in VM_STATES:
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True)
 class PlatformSettings:
-    """Where the stand-in listens and what it starts with; times in seconds."""
+    """Listening address and initial state of the stand-in; times in seconds."""
 
     address: str = "127.0.0.10"
     port: int = 8400
--- a/kumquatshift/standins/platform_store.py
+++ b/kumquatshift/standins/platform_store.py
@@ -1,4 +1,4 @@
-"""Objects of the platform stand-in: one version counter and conditional writes."""
+"""Object store of the platform stand-in: versioned, with conditional writes."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -7,7 +7,7 @@
 
 
 class Refused(Exception):  # noqa: N818
-    """The store does not do what was asked; ``answer`` says why."""
+    """The store refuses a call; ``answer`` is the response body with the reason."""
 
     def __init__(self, code: int, answer: Mapping):
         super().__init__(code, answer)
@@ -17,7 +17,7 @@
 
 @dataclass
 class Store:
-    """Objects, their one version counter, and the log of their changes."""
+    """Objects, the version counter that they share, and their change log."""
 
     history: int = 10_000
     version: int = 0
@@ -25,41 +25,41 @@
     changes: list = field(default_factory=list)
 
     def put(self, key, expected, operation, body):
-        """Write one object if version ``expected`` stands (0: none does)."""
-        standing = self.live(key)
-        self._match(key, expected)
-        created = standing["created"] if standing else self.version + 1
+        """Write one object if its version is ``expected`` (0: does not exist)."""
+        current = self.live(key)
+        self._check_version(key, expected)
+        created = current["created"] if current else self.version + 1
         return self._append(key, created, operation, False, body)
 
     def delete(self, key, expected, operation):
-        """Delete one object if version ``expected`` stands."""
-        standing = self.live(key)
-        if standing is None:
+        """Delete one object if its version is ``expected``."""
+        current = self.live(key)
+        if current is None:
             raise Refused(404, self.objects.get(key) or NO_OBJECT)
-        self._match(key, expected)
-        return self._append(key, standing["created"], operation, True, None)
+        self._check_version(key, expected)
+        return self._append(key, current["created"], operation, True, None)
 
     def live(self, key, version=None):
-        """Return the object as it stood at a version, None if it did not."""
+        """Return the object as of a version, or None if it did not exist."""
         found = self.at(version).get(key)
         return None if found is None or found["deleted"] else found
 
     def at(self, version=None):
-        """Return all objects, tombstones included, at a version."""
+        """Return all objects as of a version, tombstones included."""
         if version is None or version >= self.version:
             return self.objects
         past = [obj for obj in self.changes if obj["version"] <= version]
         return {(obj["kind"], obj["name"]): obj for obj in past}
 
     def since(self, version):
-        """Return the changes after a version; refuse one that is too old."""
+        """Return the changes since a version; raise `Refused` if it is too old."""
         if version < self.version - self.history:
             raise Refused(410, {"error": f"version {version} is too old"})
         return [obj for obj in self.changes if obj["version"] > version]
 
-    def _match(self, key, expected):
-        standing = self.live(key)
-        found = standing["version"] if standing else 0
+    def _check_version(self, key, expected):
+        current = self.live(key)
+        found = current["version"] if current else 0
         if found != expected:
             raise Refused(409, self.objects.get(key) or NO_OBJECT)
 
--- a/kumquatshift/standins/platform_watch.py
+++ b/kumquatshift/standins/platform_watch.py
@@ -1,29 +1,29 @@
-"""Watches of the platform stand-in."""
+"""Watch streams of the platform stand-in."""
 
 import json
 
-BEAT_S = 5.0
+HEARTBEAT_INTERVAL_S = 5.0
 
 
 class WatchStream:
-    """One open watch: changes as they come, and the version every 5 s."""
+    """One open watch: sends changes as they occur, and the version every 5 s."""
 
     def __init__(self, api, request, since: int):
         self.api = api
         self.request = request
         self.since = since
-        self.beat = None
+        self.heartbeat_timer = None
         request.notifyFinish().addBoth(lambda _: self.stop())
 
     def start(self):
-        """Send the headers and what has happened since."""
+        """Send the headers and the changes since the requested version."""
         self.request.setHeader("content-type", "application/x-ndjson")
         self.request.write(b"")
-        self.tell()
-        self._beat()
+        self.send_changes()
+        self._send_heartbeat()
 
-    def tell(self):
-        """Send the changes that were not sent yet."""
+    def send_changes(self):
+        """Send the changes that have not been sent yet."""
         if self.api.faults.hang_watches:
             return
         for obj in self.api.store.since(self.since):
@@ -31,26 +31,28 @@
         self.since = self.api.store.version
 
     def stop(self):
-        """Forget the watch."""
+        """Remove the watch and cancel its heartbeat."""
         self.api.watches.discard(self)
-        if self.beat is not None and self.beat.active():
-            self.beat.cancel()
+        if self.heartbeat_timer is not None and self.heartbeat_timer.active():
+            self.heartbeat_timer.cancel()
 
-    def cut(self):
-        """Cut the connection."""
+    def abort(self):
+        """Stop the watch and abort its connection."""
         self.stop()
-        cut(self.request)
+        abort(self.request)
 
-    def _beat(self):
+    def _send_heartbeat(self):
         if not self.api.faults.hang_watches:
-            self.tell()
+            self.send_changes()
             self._write({"version": self.api.store.version})
-        self.beat = self.api.reactor.callLater(BEAT_S, self._beat)
+        self.heartbeat_timer = self.api.reactor.callLater(
+            HEARTBEAT_INTERVAL_S, self._send_heartbeat
+        )
 
     def _write(self, value):
         self.request.write(json.dumps(value).encode() + b"\n")
 
 
-def cut(request):
-    """Cut the connection of a request."""
+def abort(request):
+    """Abort the connection of a request."""
     request.transport.abortConnection()
--- a/kumquatshift/standins/readiness.py
+++ b/kumquatshift/standins/readiness.py
@@ -1,58 +1,58 @@
-"""Which entries take packets, as the fabric finds out by asking them."""
+"""Readiness checks by which the fabric finds entries that accept packets."""
 
 from twisted.internet import defer
 from twisted.internet.task import LoopingCall
 
-PERIOD_S = 0.5
+CHECK_INTERVAL_S = 0.5
 TIMEOUT_S = 1.0
-MISSES = 2
+MAX_MISSES = 2
 HTTP_OK = 200
 
 
 class ReadyChecks:
-    """Asks every entry in turn whether it takes packets.
+    """Polls the readiness of every entry.
 
-    ``fetch(host)`` returns a Deferred of the HTTP status of the entry's
-    ``/ready``, or fails. An entry is ready after a 200, not ready at once
-    after any other answer, and not ready after two misses in a row.
+    ``fetch(host)`` returns a Deferred with the HTTP status of ``/ready`` of the
+    entry, or fails. An entry is ready after a 200, not ready immediately after any
+    other status, and not ready after two consecutive failures.
     """
 
     def __init__(self, spray, fetch, clock):
         self.spray = spray
         self.fetch = fetch
         self.misses = dict.fromkeys(spray.entries, 0)
-        self.asking = set()
-        self.loop = LoopingCall(self.ask_all)
+        self.pending = set()
+        self.loop = LoopingCall(self.check_all)
         self.loop.clock = clock
 
     def start(self):
-        """Ask now, and then every half second."""
-        self.loop.start(PERIOD_S)
+        """Check now, and then every half second."""
+        self.loop.start(CHECK_INTERVAL_S)
 
     def stop(self):
-        """Ask no more."""
+        """Stop the checks."""
         if self.loop.running:
             self.loop.stop()
 
-    def ask_all(self):
-        """Ask each entry that has no question open."""
+    def check_all(self):
+        """Check each entry that has no check in progress."""
         for name in self.spray.entries:
-            if name not in self.asking:
-                self.asking.add(name)
-                defer.ensureDeferred(self._ask(name))
+            if name not in self.pending:
+                self.pending.add(name)
+                defer.ensureDeferred(self._check(name))
 
-    async def _ask(self, name):
+    async def _check(self, name):
         try:
             status = await self.fetch(self.spray.entries[name])
         except Exception:
-            self._missed(name)
+            self._record_miss(name)
         else:
             self.misses[name] = 0
             self.spray.set_ready(name, status == HTTP_OK)
         finally:
-            self.asking.discard(name)
+            self.pending.discard(name)
 
-    def _missed(self, name):
+    def _record_miss(self, name):
         self.misses[name] += 1
-        if self.misses[name] >= MISSES:
+        if self.misses[name] >= MAX_MISSES:
             self.spray.set_ready(name, False)
--- a/kumquatshift/standins/relays.py
+++ b/kumquatshift/standins/relays.py
@@ -1,4 +1,4 @@
-"""How a target's own stack carries callers' traffic to its server, and back."""
+"""Relays between callers' packets and the local server of a target."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Flow:
-    """A caller and the service address that it talks to."""
+    """A caller and the service address that it sends to."""
 
     caller: Endpoint
     service: Endpoint
@@ -31,16 +31,16 @@
         self.on_answer = on_answer
 
     def startProtocol(self):  # noqa: N802
-        """Talk to the server only."""
+        """Connect the socket to the server."""
         self.transport.connect(self.server.host, self.server.port)
 
     def datagramReceived(self, data, address):  # noqa: N802
-        """Hand an answer on."""
+        """Pass an answer to ``on_answer``."""
         self.on_answer(data)
 
 
 class UdpRelay:
-    """Carries datagrams to the server, on a local socket for each flow."""
+    """Relays datagrams to the server, over one local socket per flow."""
 
     def __init__(self, server: Endpoint, answer, reactor):
         self.server = server
@@ -53,7 +53,7 @@
         self.sweeper.clock = reactor
 
     def start(self):
-        """Begin to close idle sockets."""
+        """Start the periodic closing of idle sockets."""
         self.sweeper.start(SWEEP_PERIOD_S, now=False)
 
     def stop(self):
@@ -63,7 +63,7 @@
             self._close(flow)
 
     def receive(self, datagram):
-        """Take one datagram of a caller."""
+        """Relay one datagram of a caller."""
         flow = Flow(datagram.src, datagram.dst)
         self.last_used_s[flow] = self.reactor.seconds()
         if flow not in self.flows:
@@ -81,7 +81,7 @@
         return sock
 
     def sweep(self):
-        """Close the sockets of flows that have been idle for too long."""
+        """Close the sockets of flows idle for longer than ``IDLE_LIMIT_S``."""
         oldest_s = self.reactor.seconds() - IDLE_LIMIT_S
         idle = [flow for flow, used_s in self.last_used_s.items() if used_s < oldest_s]
         for flow in idle:
@@ -94,7 +94,7 @@
 
 
 class TcpRelay:
-    """Joins the segments of callers to real connections to the server."""
+    """Bridges the simulated connections of callers to connections to the server."""
 
     def __init__(self, server: Endpoint, answer, reactor):
         self.server = server
@@ -102,11 +102,11 @@
         self.table = StreamTable(reactor, answer, self.accept)
 
     def receive(self, segment):
-        """Take one segment of a caller."""
+        """Handle one segment of a caller."""
         self.table.receive(segment)
 
     def accept(self):
-        """Connect to the server for a connection that a caller opens."""
+        """Connect to the server on behalf of a caller's new connection."""
         bridge = Bridge()
         endpoint = TCP4ClientEndpoint(self.reactor, self.server.host, self.server.port)
         connecting = connectProtocol(endpoint, bridge)
--- a/kumquatshift/standins/segments.py
+++ b/kumquatshift/standins/segments.py
@@ -1,9 +1,9 @@
-"""One end of a TCP connection, without any I/O of its own (RFC 9293).
+"""One endpoint of a simulated TCP connection, without I/O (RFC 9293).
 
-A `Stream` turns bytes into segments and back. It acknowledges cumulatively,
-sends again what is not acknowledged in time, keeps to a bounded window, and
-ends at once on a reset. It knows no options: no window scale, no selective
-acknowledgement, no congestion control, as it runs on loopback only::
+A `Stream` converts bytes to segments and back. It uses cumulative acknowledgements,
+retransmission on timeout and a bounded window, and closes at once on a reset. It
+supports no options (no window scaling, no selective acknowledgement) and has no
+congestion control, as it runs on loopback only::
 
     stream = Stream(caller, service, clock, send, owner)
     stream.open()
@@ -20,57 +20,57 @@
 
 SEGMENT_BYTES = 1200
 WINDOW_BYTES = 48 * 1024
-FIRST_TIMEOUT_S = 0.25
-LONGEST_TIMEOUT_S = 2.0
-GIVE_UP_S = 30.0
+INITIAL_RTO_S = 0.25
+MAX_RTO_S = 2.0
+USER_TIMEOUT_S = 30.0
 TIME_WAIT_S = 4.0
-DUPLICATE_ACKS = 3
+DUPLICATE_ACK_THRESHOLD = 3
 HALF_SEQUENCE = 1 << 31
 
 
 class State(Enum):
-    """Where a connection stands, as far as both ends need to know."""
+    """States of a connection, a simplified set of those in RFC 9293."""
 
     NEW = auto()
-    OPENING = auto()
-    ACCEPTING = auto()
+    SYN_SENT = auto()
+    SYN_RECEIVED = auto()
     OPEN = auto()
     TIME_WAIT = auto()
     OVER = auto()
 
 
 class StreamOwner(Protocol):
-    """Who uses a stream, and is told what happens to it."""
+    """User of a stream, whose methods are called on events of the stream."""
 
     def stream_opened(self) -> None:
-        """Both ends have agreed on the connection."""
+        """The handshake is complete."""
 
     def stream_received(self, data: bytes) -> None:
-        """The next bytes from the other end have come."""
+        """The next bytes from the peer have arrived."""
 
     def stream_finished(self) -> None:
-        """The other end will send no more; ours still may."""
+        """The peer has closed its sending half; this end may still send."""
 
     def stream_drained(self) -> None:
-        """Everything that was written is acknowledged."""
+        """The peer has acknowledged everything that was written."""
 
     def stream_lost(self, reason: str) -> None:
-        """The connection ended before both ends had finished."""
+        """The connection was lost before both ends had closed it."""
 
 
-def unwrap(near, number):
-    """Return the sequence number nearest to ``near`` that is sent as ``number``."""
-    distance = (number - near) & SEQUENCE_MASK
+def unwrap(reference, number):
+    """Return the unwrapped form of ``number`` that is nearest to ``reference``."""
+    distance = (number - reference) & SEQUENCE_MASK
     if distance >= HALF_SEQUENCE:
         distance -= 1 << 32
-    return near + distance
+    return reference + distance
 
 
 class Sender:
-    """The bytes on their way out: what is acknowledged, sent, and still to send.
+    """Send buffer: bytes that are sent but unacknowledged, or still to be sent.
 
-    Sequence numbers are whole numbers that never wrap here. The first one is
-    that of the SYN, and the one after the last byte that of the FIN.
+    Sequence numbers are unwrapped integers. The first one is that of the SYN, and
+    the one after the last byte is that of the FIN.
     """
 
     def __init__(self, first):
@@ -78,91 +78,91 @@
         self.acked = first
         self.next = first
         self.buffer = bytearray()
-        self.finishing = False
-        self.finish_acked = False
+        self.fin_queued = False
+        self.fin_acked = False
         self.window = 0
 
     @property
     def start(self):
-        """The sequence number of the first byte in the buffer."""
+        """Sequence number of the first byte in the buffer."""
         return max(self.acked, self.first + 1)
 
     @property
     def end(self):
-        """The sequence number after the last thing there is to send."""
-        return self.start + len(self.buffer) + self.is_finish_due
+        """Sequence number after the last byte, or after a FIN that is due."""
+        return self.start + len(self.buffer) + self.is_fin_due
 
     @property
-    def is_finish_due(self):
+    def is_fin_due(self):
         """Whether a FIN is still to be sent or acknowledged."""
-        return self.finishing and not self.finish_acked
+        return self.fin_queued and not self.fin_acked
 
-    def piece(self, seq, limit):
+    def chunk(self, seq, limit):
         """Return (syn, payload, fin) from ``seq`` on, at most ``limit`` bytes."""
         if seq == self.first:
             return True, b"", False
         offset = seq - self.start
         payload = bytes(self.buffer[offset : offset + limit])
         is_last = offset + len(payload) == len(self.buffer)
-        return False, payload, is_last and self.is_finish_due
+        return False, payload, is_last and self.is_fin_due
 
-    def take_ack(self, ack):
-        """Drop what is acknowledged; return whether that was anything."""
+    def acknowledge(self, ack):
+        """Drop acknowledged bytes; return whether ``ack`` acknowledges new data."""
         if not self.acked < ack <= self.next:
             return False
         count = ack - self.start
-        self.finish_acked = count > len(self.buffer)
+        self.fin_acked = count > len(self.buffer)
         del self.buffer[: max(0, count)]
         self.acked = ack
         return True
 
 
 class Receiver:
-    """The bytes that have come in, put in order, until they are delivered."""
+    """Receive buffer: reassembles incoming bytes and holds them until delivery."""
 
     def __init__(self, first):
         self.next = first
-        self.early = {}
-        self.finish_at = None
-        self.finished = False
+        self.out_of_order = {}
+        self.fin_seq = None
+        self.fin_received = False
         self.held = bytearray()
 
     @property
     def window(self):
-        """How many more bytes may come."""
+        """Free space in the buffer, in bytes."""
         return max(0, WINDOW_BYTES - len(self.held))
 
-    def take(self, seq, payload, fin):
-        """Take one piece, early, late or doubled; keep what fits the window."""
+    def add(self, seq, payload, fin):
+        """Add a payload, in any order or duplicated; keep what fits the window."""
         if fin:
-            self.finish_at = seq + len(payload)
+            self.fin_seq = seq + len(payload)
         if seq < self.next:
             payload = payload[self.next - seq :]
             seq = self.next
-        room = self.next + self.window - seq
-        payload = payload[: max(0, room)]
-        if len(payload) > len(self.early.get(seq, b"")):
-            self.early[seq] = payload
-        self._join()
-
-    def _join(self):
-        for seq in sorted(self.early):
+        space = self.next + self.window - seq
+        payload = payload[: max(0, space)]
+        if len(payload) > len(self.out_of_order.get(seq, b"")):
+            self.out_of_order[seq] = payload
+        self._reassemble()
+
+    def _reassemble(self):
+        for seq in sorted(self.out_of_order):
             if seq > self.next:
                 break
-            payload = self.early.pop(seq)[self.next - seq :]
+            payload = self.out_of_order.pop(seq)[self.next - seq :]
             self.held += payload
             self.next += len(payload)
-        if self.finish_at == self.next and not self.finished:
-            self.finished = True
+        if self.fin_seq == self.next and not self.fin_received:
+            self.fin_received = True
             self.next += 1
 
 
 class Stream:
-    """One end of one connection; see the module's own words.
+    """One endpoint of a connection; see the module docstring.
 
-    ``send`` is called with each segment to go out. ``clock`` is Twisted's
-    reactor or a test's `Clock`. ``on_over`` is told when the connection is to be
-    forgotten.
+    ``send`` is called with each outgoing segment. ``clock`` is the Twisted reactor,
+    or a `Clock` in tests. ``on_closed`` is called when the connection is closed and
+    can be removed from tables.
     """
 
     def __init__(
@@ -172,7 +172,7 @@
         clock,
         send: Callable[[Segment], None],
         owner: StreamOwner,
-        on_over: Callable[["Stream"], None] = lambda stream: None,
+        on_closed: Callable[["Stream"], None] = lambda stream: None,
     ):
         self.local = local
         self.remote = remote
@@ -180,52 +180,52 @@
         self.send = send
         self.owner = owner
         self.state = State.NEW
-        self.on_over = on_over
-        self.out = Sender(random.getrandbits(32))
+        self.on_closed = on_closed
+        self.sender = Sender(random.getrandbits(32))
         self.into: Receiver | None = None
         self.paused = False
-        self.told_finished = False
+        self.finish_reported = False
         self.timer = None
-        self.timeout_s = FIRST_TIMEOUT_S
-        self.heard_s = clock.seconds()
-        self.is_waiting = False
+        self.rto_s = INITIAL_RTO_S
+        self.last_received_s = clock.seconds()
+        self.is_timer_needed = False
         self.recover = None
         self.duplicate_acks = 0
-        self.window_seen = (0, 0)
+        self.last_window_update = (0, 0)
 
-    # What the owner asks for.
+    # Methods called by the owner.
 
     def open(self):
-        """Begin the connection from this end."""
-        self.state = State.OPENING
+        """Start the handshake from this end."""
+        self.state = State.SYN_SENT
         self._send_next()
 
     def write(self, data):
-        """Send bytes, now or as soon as the other end has room."""
-        if self.state is State.OVER or self.out.finishing:
+        """Queue bytes; they are sent as the window of the peer allows."""
+        if self.state is State.OVER or self.sender.fin_queued:
             return
-        self.out.buffer += data
+        self.sender.buffer += data
         self._send_more()
 
     def close(self):
-        """Send no more after what was written."""
-        if self.state is State.OVER or self.out.finishing:
+        """Queue a FIN after the bytes already written."""
+        if self.state is State.OVER or self.sender.fin_queued:
             return
-        self.out.finishing = True
+        self.sender.fin_queued = True
         self._send_more()
 
     def abort(self):
-        """End the connection at once, with a reset."""
+        """Close the connection at once with a reset."""
         if self.state not in (State.OVER, State.TIME_WAIT):
-            self._transmit(self.out.next, rst=True)
+            self._transmit(self.sender.next, rst=True)
         self._end()
 
     def pause(self):
-        """Deliver nothing until `resume`; the window then closes."""
+        """Stop delivery until `resume`; the receive window shrinks meanwhile."""
         self.paused = True
 
     def resume(self):
-        """Deliver what was held back, and what comes."""
+        """Deliver the buffered bytes, and resume delivery."""
         if not self.paused:
             return
         self.paused = False
@@ -237,113 +237,113 @@
 
     @property
     def unsent(self):
-        """How many written bytes the other end has not acknowledged."""
-        return len(self.out.buffer)
+        """Number of written bytes that the peer has not acknowledged."""
+        return len(self.sender.buffer)
 
-    # What comes in.
+    # Incoming segments.
 
     def receive(self, segment):
-        """Take one segment of this connection."""
+        """Process one segment of this connection."""
         if self.state is State.OVER:
             return
         if segment.rst:
-            self._take_reset(segment)
+            self._handle_reset(segment)
         elif self.state is State.NEW:
             self._accept(segment)
-        elif self.state is State.OPENING:
-            self._take_first_answer(segment)
+        elif self.state is State.SYN_SENT:
+            self._handle_syn_ack(segment)
         else:
-            self._take(segment)
+            self._handle_segment(segment)
 
     def _accept(self, segment):
         if not segment.syn or segment.ack is not None:
             return
-        self.state = State.ACCEPTING
-        self._note_start(segment)
+        self.state = State.SYN_RECEIVED
+        self._start_receiving(segment)
         self._send_next()
 
-    def _take_first_answer(self, segment):
-        expected = unwrap(self.out.next, segment.ack or 0)
-        if not segment.syn or segment.ack is None or expected != self.out.next:
+    def _handle_syn_ack(self, segment):
+        expected = unwrap(self.sender.next, segment.ack or 0)
+        if not segment.syn or segment.ack is None or expected != self.sender.next:
             return
-        self._note_start(segment)
-        self._take_ack(segment)
+        self._start_receiving(segment)
+        self._handle_ack(segment)
         self._send_ack()
 
-    def _note_start(self, segment):
-        self.heard_s = self.clock.seconds()
+    def _start_receiving(self, segment):
+        self.last_received_s = self.clock.seconds()
         self.into = Receiver(segment.seq + 1)
-        self.out.window = segment.window
-        self.window_seen = (segment.seq + 1, self.out.acked)
+        self.sender.window = segment.window
+        self.last_window_update = (segment.seq + 1, self.sender.acked)
 
-    def _take_reset(self, segment):
+    def _handle_reset(self, segment):
         if self.into is None:
-            is_ours = segment.ack is not None and (
-                unwrap(self.out.next, segment.ack) == self.out.next
+            is_acceptable = segment.ack is not None and (
+                unwrap(self.sender.next, segment.ack) == self.sender.next
             )
         else:
             seq = unwrap(self.into.next, segment.seq)
-            is_ours = 0 <= seq - self.into.next <= WINDOW_BYTES
-        if is_ours:
-            self._lose("reset by the other end")
+            is_acceptable = 0 <= seq - self.into.next <= WINDOW_BYTES
+        if is_acceptable:
+            self._fail("reset by the other end")
 
-    def _take(self, segment):
-        self.heard_s = self.clock.seconds()
+    def _handle_segment(self, segment):
+        self.last_received_s = self.clock.seconds()
         if segment.syn:
-            if self.state is State.ACCEPTING:
-                self._transmit(self.out.first)
+            if self.state is State.SYN_RECEIVED:
+                self._transmit(self.sender.first)
             else:
                 self._send_ack()
             return
         if segment.ack is None:
             return
         seq = unwrap(self.into.next, segment.seq)
-        self._take_ack(segment)
+        self._handle_ack(segment)
         if self.state is State.OVER:
             return
         if segment.length or seq < self.into.next:
-            self.into.take(seq, segment.payload, segment.fin)
+            self.into.add(seq, segment.payload, segment.fin)
             self._deliver()
             if self.state is not State.OVER:
                 self._send_ack()
         self._check_done()
 
-    def _take_ack(self, segment):
-        ack = unwrap(self.out.acked, segment.ack)
-        self._take_window(segment, ack)
-        if self.out.take_ack(ack):
-            self._advance(ack)
+    def _handle_ack(self, segment):
+        ack = unwrap(self.sender.acked, segment.ack)
+        self._update_window(segment, ack)
+        if self.sender.acknowledge(ack):
+            self._handle_new_ack(ack)
         elif self._is_duplicate(segment, ack):
             self.duplicate_acks += 1
-            if self.duplicate_acks == DUPLICATE_ACKS:
-                self._resend()
+            if self.duplicate_acks == DUPLICATE_ACK_THRESHOLD:
+                self._start_recovery()
         self._send_more()
 
-    def _advance(self, ack):
+    def _handle_new_ack(self, ack):
         self.duplicate_acks = 0
-        self.timeout_s = FIRST_TIMEOUT_S
+        self.rto_s = INITIAL_RTO_S
         self._set_timer()
-        if self.state in (State.OPENING, State.ACCEPTING):
+        if self.state in (State.SYN_SENT, State.SYN_RECEIVED):
             self.state = State.OPEN
             self.owner.stream_opened()
         if self.recover is not None:
             if ack < self.recover:
-                self._transmit_first()
+                self._retransmit_oldest()
             else:
                 self.recover = None
-        if not self.out.buffer:
+        if not self.sender.buffer:
             self.owner.stream_drained()
 
     def _is_duplicate(self, segment, ack):
-        waiting = self.out.acked < self.out.next
-        return waiting and ack == self.out.acked and not segment.length
+        waiting = self.sender.acked < self.sender.next
+        return waiting and ack == self.sender.acked and not segment.length
 
-    def _take_window(self, segment, ack):
-        """Take the other end's window, unless a newer segment has told it."""
-        seen = (unwrap(self.into.next, segment.seq), ack)
-        if ack >= self.out.acked and seen >= self.window_seen:
-            self.out.window = segment.window
-            self.window_seen = seen
+    def _update_window(self, segment, ack):
+        """Update the window of the peer, unless the segment is an older one."""
+        update = (unwrap(self.into.next, segment.seq), ack)
+        if ack >= self.sender.acked and update >= self.last_window_update:
+            self.sender.window = segment.window
+            self.last_window_update = update
 
     def _deliver(self):
         if self.paused:
@@ -352,52 +352,52 @@
             data = bytes(self.into.held)
             self.into.held.clear()
             self.owner.stream_received(data)
-        if self.into.finished and not self.told_finished:
-            self.told_finished = True
+        if self.into.fin_received and not self.finish_reported:
+            self.finish_reported = True
             self.owner.stream_finished()
         self._check_done()
 
     def _check_done(self):
         if self.state is not State.OPEN:
             return
-        if self.told_finished and self.out.finish_acked:
+        if self.finish_reported and self.sender.fin_acked:
             self.state = State.TIME_WAIT
             self._cancel_timer()
             self.timer = self.clock.callLater(TIME_WAIT_S, self._end)
 
-    # What goes out.
+    # Outgoing segments.
 
     def _send_more(self):
         if self.state is not State.OPEN:
             return
-        while self.out.next < self.out.end and self._room() > 0:
+        while self.sender.next < self.sender.end and self._usable_window() > 0:
             self._send_next()
         self._set_timer(restart=False)
 
-    def _room(self):
-        window = min(self.out.window, WINDOW_BYTES)
-        return self.out.acked + window - self.out.next
+    def _usable_window(self):
+        window = min(self.sender.window, WINDOW_BYTES)
+        return self.sender.acked + window - self.sender.next
 
     def _send_next(self):
-        limit = max(1, min(SEGMENT_BYTES, self._room()))
-        self._transmit(self.out.next, limit)
+        limit = max(1, min(SEGMENT_BYTES, self._usable_window()))
+        self._transmit(self.sender.next, limit)
         self._set_timer(restart=False)
 
-    def _resend(self):
-        """Send the first piece again, and the next ones as answers come."""
-        self.recover = self.out.next
-        self._transmit_first()
+    def _start_recovery(self):
+        """Retransmit the oldest segment, and later ones as acknowledgements arrive."""
+        self.recover = self.sender.next
+        self._retransmit_oldest()
 
-    def _transmit_first(self):
+    def _retransmit_oldest(self):
         self._transmit(
-            self.out.acked, min(SEGMENT_BYTES, self.out.next - self.out.acked)
+            self.sender.acked, min(SEGMENT_BYTES, self.sender.next - self.sender.acked)
         )
 
     def _transmit(self, seq, limit=0, rst=False):
-        """Send the piece from ``seq`` on, or a reset at ``seq``."""
+        """Send the segment that starts at ``seq``, or a reset at ``seq``."""
         syn, payload, fin = (False, b"", False)
         if not rst:
-            syn, payload, fin = self.out.piece(seq, limit)
+            syn, payload, fin = self.sender.chunk(seq, limit)
         segment = Segment(
             self.local,
             self.remote,
@@ -409,32 +409,34 @@
             fin=fin,
             rst=rst,
         )
-        self.out.next = max(self.out.next, seq + segment.length)
+        self.sender.next = max(self.sender.next, seq + segment.length)
         self.send(segment)
 
     def _send_ack(self):
         segment = Segment(
             self.local,
             self.remote,
-            self.out.next & SEQUENCE_MASK,
+            self.sender.next & SEQUENCE_MASK,
             self.into.next & SEQUENCE_MASK,
             window=self.into.window,
         )
         self.send(segment)
 
-    # The retransmission timer, which also probes a window that is shut.
+    # The retransmission timer, which also triggers zero-window probes.
 
     def _set_timer(self, restart=True):
         if self.state in (State.TIME_WAIT, State.OVER):
             return
-        is_needed = self.out.acked < self.out.next or self.out.next < self.out.end
-        if is_needed and not self.is_waiting:
-            self.heard_s = self.clock.seconds()
-        self.is_waiting = is_needed
+        is_needed = (
+            self.sender.acked < self.sender.next or self.sender.next < self.sender.end
+        )
+        if is_needed and not self.is_timer_needed:
+            self.last_received_s = self.clock.seconds()
+        self.is_timer_needed = is_needed
         if self.timer is not None and (restart or not is_needed):
             self._cancel_timer()
         if self.timer is None and is_needed:
-            self.timer = self.clock.callLater(self.timeout_s, self._timed_out)
+            self.timer = self.clock.callLater(self.rto_s, self._timed_out)
 
     def _cancel_timer(self):
         if self.timer is not None and self.timer.active():
@@ -443,19 +445,19 @@
 
     def _timed_out(self):
         self.timer = None
-        if self.clock.seconds() - self.heard_s > GIVE_UP_S:
-            self._transmit(self.out.next, rst=True)
-            self._lose("no answer from the other end")
+        if self.clock.seconds() - self.last_received_s > USER_TIMEOUT_S:
+            self._transmit(self.sender.next, rst=True)
+            self._fail("no answer from the other end")
             return
-        self.timeout_s = min(2 * self.timeout_s, LONGEST_TIMEOUT_S)
+        self.rto_s = min(2 * self.rto_s, MAX_RTO_S)
         self.duplicate_acks = 0
-        if self.out.acked < self.out.next:
-            self._resend()
+        if self.sender.acked < self.sender.next:
+            self._start_recovery()
             self._set_timer()
         else:
             self._send_next()
 
-    def _lose(self, reason):
+    def _fail(self, reason):
         if self.state is not State.TIME_WAIT:
             self.owner.stream_lost(reason)
         self._end()
@@ -464,4 +466,4 @@
         if self.state is not State.OVER:
             self.state = State.OVER
             self._cancel_timer()
-            self.on_over(self)
+            self.on_closed(self)
--- a/kumquatshift/standins/spray.py
+++ b/kumquatshift/standins/spray.py
@@ -1,4 +1,4 @@
-"""How the fabric hands packets to entries: any packet to any ready entry."""
+"""Per-packet spraying by the fabric: each packet goes to a random ready entry."""
 
 from collections import Counter
 from collections.abc import Callable, Mapping
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Faults:
-    """How likely it is that a packet is lost, delayed or doubled, each in [0, 1]."""
+    """Probabilities that a packet is lost, delayed or duplicated, each in [0, 1]."""
 
     loss: float = 0.0
     reorder: float = 0.0
@@ -20,15 +20,15 @@
 
     @classmethod
     def from_config(cls, cfg: FabricStandinSection):
-        """Return the faults that the settings ask for."""
+        """Return the faults configured in the settings."""
         return cls(cfg.loss, cfg.reorder, cfg.duplicate)
 
 
 class Spray:
-    """Sends each packet to a random entry out of those that are ready.
+    """Sends each packet to a random ready entry.
 
-    ``send`` is called with the entry's host and the packet; ``clock`` delays
-    the packets that are to be overtaken. What happened is in ``counters``.
+    ``send`` is called with the host of the entry and the packet; ``clock`` schedules
+    packets that are delayed to cause reordering. ``counters`` counts the outcomes.
     """
 
     def __init__(
@@ -48,12 +48,12 @@
         self.counters = Counter()
 
     def set_ready(self, name, is_ready):
-        """Let the entry ``name`` take packets, or take none."""
+        """Set whether the entry ``name`` receives packets."""
         others = [entry for entry in self.ready if entry != name]
         self.ready = tuple(sorted([*others, name] if is_ready else others))
 
     def pass_on(self, direction, packet):
-        """Send one packet of ``direction``, faults and all."""
+        """Forward one packet of ``direction``, with faults injected."""
         self.counters[f"{direction}.received"] += 1
         if self.rng.random() < self.faults.loss:
             self.counters[f"{direction}.lost"] += 1
--- a/kumquatshift/standins/target.py
+++ b/kumquatshift/standins/target.py
@@ -1,7 +1,7 @@
-"""Stand-in for a target: a decapsulating port before an ordinary server.
+"""Stand-in for a target: a decapsulating port in front of ordinary servers.
 
-The server is `aiocoap` for a service over UDP, and `twisted.web` for one over
-TCP. Neither knows of the balancer.
+The server is `aiocoap` for a service over UDP, and `twisted.web` for one over TCP.
+Both are unaware of the balancer.
 """
 
 import asyncio
@@ -11,7 +11,7 @@
 
 from ..logs import Part, logger_for
 from ..settings import TargetStandinSettings
-from .admin import Button, JsonPage, admin_site, stop_ports
+from .admin import ActionPage, JsonPage, admin_site, stop_ports
 from .application import Application, ApplicationSettings
 from .decapsulator import Decapsulator
 from .load import LoadReport, LoadSettings
@@ -29,7 +29,7 @@
 
 
 class Target:
-    """A target; ``start`` opens its ports on ``reactor``."""
+    """A target stand-in; ``start`` opens its ports on ``reactor``."""
 
     def __init__(self, settings: TargetStandinSettings, reactor):
         self.settings = cfg = settings.target
@@ -53,7 +53,7 @@
         self.ports = []
 
     async def start(self):
-        """Open all ports; those of the servers first."""
+        """Open all ports, those of the servers first."""
         host = self.settings.address
         serving = aiocoap.Context.create_server_context(
             self.app.site(), bind=(f"::ffff:{host}", COAP_PORT), transports=["udp6"]
@@ -69,13 +69,13 @@
         self.ports.append(port)
         pages = {
             b"load": JsonPage(self.load.read),
-            b"chill": Button(self.app.capacity.chill),
+            b"chill": ActionPage(self.app.capacity.chill),
         }
         self._listen_tcp(ADMIN_PORT, admin_site(self.dump, pages))
-        log.info("Target {} starts at {}.", self.settings.name, host)
+        log.info("Target stand-in {} started at {}.", self.settings.name, host)
 
     async def stop(self):
-        """Close all ports and let the servers end."""
+        """Close all ports and shut the servers down."""
         self.app.stop()
         self.load.stop()
         self.udp.stop()
@@ -89,7 +89,7 @@
         self.ports.append(self.reactor.listenTCP(number, factory, interface=host))
 
     def dump(self):
-        """Return the whole state."""
+        """Return the state as shown on the admin port."""
         capacity = self.app.capacity
         return {
             "name": self.settings.name,
@@ -118,5 +118,5 @@
 
 
 def serve(settings: TargetStandinSettings, reactor) -> defer.Deferred:
-    """Start a target on ``reactor``; the Deferred fires when it has started."""
+    """Start a target on ``reactor``; the Deferred fires when its ports are open."""
     return defer.ensureDeferred(Target(settings, reactor).start())
--- a/kumquatshift/standins/website.py
+++ b/kumquatshift/standins/website.py
@@ -1,4 +1,4 @@
-"""The HTTP server of a target: an ordinary twisted.web site."""
+"""HTTP server of a target: a plain twisted.web site."""
 
 from twisted.internet import defer
 from twisted.web.resource import Resource
@@ -19,13 +19,13 @@
     return Site(root)
 
 
-def argument(request, name, default=""):
-    """Return one argument of the query."""
+def query_argument(request, name, default=""):
+    """Return the first value of a query argument."""
     return request.args.get(name, [default.encode()])[0].decode(errors="replace")
 
 
 class EchoPage(Resource):
-    """Answers the request's id at once."""
+    """Responds with the id of the request at once."""
 
     isLeaf = True  # noqa: N815
 
@@ -34,41 +34,41 @@
         self.app = app
 
     def render_GET(self, request):  # noqa: N802
-        """Answer; doing it twice does no harm."""
-        ident = argument(request, b"id")
+        """Respond; the request is idempotent."""
+        ident = query_argument(request, b"id")
         self.app.gets.add(ident)
         return self.app.answer(id=ident)
 
     def render_POST(self, request):  # noqa: N802
-        """Count one run of the id, and answer."""
-        ident = argument(request, b"id")
+        """Count one run of the id, and respond."""
+        ident = query_argument(request, b"id")
         self.app.posts.add(ident)
         return self.app.answer(id=ident)
 
 
 class WorkPage(EchoPage):
-    """Answers after ``ms`` milliseconds in a slot, or refuses at once."""
+    """Responds after ``ms`` milliseconds in a slot, or refuses at once."""
 
     def render_GET(self, request):  # noqa: N802
-        """Work, then answer."""
+        """Work, then respond."""
         defer.ensureDeferred(self._work(request, super().render_GET))
         return NOT_DONE_YET
 
     def render_POST(self, request):  # noqa: N802
-        """Work, count one run of the id, and answer."""
+        """Work, count one run of the id, and respond."""
         defer.ensureDeferred(self._work(request, super().render_POST))
         return NOT_DONE_YET
 
     async def _work(self, request, render):
-        gone = []
-        request.notifyFinish().addErrback(gone.append)
-        work_s = float(argument(request, b"ms", "0")) / MS_PER_S
+        disconnects = []
+        request.notifyFinish().addErrback(disconnects.append)
+        work_s = float(query_argument(request, b"ms", "0")) / MS_PER_S
         try:
             await self.app.capacity.run(work_s)
             body = render(request)
         except OverloadError:
             body = self._refuse(request)
-        if not gone:
+        if not disconnects:
             request.write(body)
             request.finish()
 
@@ -80,7 +80,7 @@
 
 
 class BigPage(Resource):
-    """Answers with ``size`` bytes that are made from the id."""
+    """Responds with ``size`` bytes derived from the id."""
 
     isLeaf = True  # noqa: N815
 
@@ -89,7 +89,7 @@
         self.app = app
 
     def render_GET(self, request):  # noqa: N802
-        """Answer with the whole of it."""
-        size = int(argument(request, b"size", str(BIG_BYTES)))
-        ident = argument(request, b"id")
+        """Respond with the complete payload."""
+        size = int(query_argument(request, b"size", str(BIG_BYTES)))
+        ident = query_argument(request, b"id")
         return big_payload(self.app.settings.service, ident, size)
