--- a/kumquatshift/bench/__init__.py
+++ b/kumquatshift/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Load and measurement: real callers against a running system."""
+"""Load generator: sends requests to a running system and reports the results."""
--- a/kumquatshift/bench/watches.py
+++ b/kumquatshift/bench/watches.py
@@ -1,4 +1,4 @@
-"""Callers that keep a watch open and note how it breaks."""
+"""Callers that keep a watch open and record how it breaks."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 
 
 class WatchCaller:
-    """Keeps one watch (RFC 7641) open; when it breaks, opens the next one."""
+    """Keeps one watch (RFC 7641) open, and opens a new one when it breaks."""
 
     def __init__(self, name, service, endpoint, load, tally, clock):
         self.name = name
@@ -28,18 +28,18 @@
         self.target = ""
         self.stopped = False
         self.is_open = False
-        self.heard_s = 0.0
+        self.last_heard_s = 0.0
 
     def is_settled(self, since_s):
-        """Tell whether the watch was heard since then, or is not open."""
-        return not self.is_open or self.heard_s >= since_s
+        """Return whether the watch was notified since ``since_s``, or is not open."""
+        return not self.is_open or self.last_heard_s >= since_s
 
     def stop(self):
-        """Let the watch go; what happens to it later is not counted."""
+        """Stop watching; later events of the watch are not counted."""
         self.stopped = True
 
     async def run(self):
-        """Watch until cancelled."""
+        """Keep a watch open until stopped or cancelled."""
         while not self.stopped:
             context = await client_context()
             try:
@@ -50,42 +50,44 @@
                 await asyncio.sleep(REOPEN_DELAY_S)
 
     async def watch_once(self, context):
-        """Open one watch, and follow it until it breaks."""
+        """Open one watch, and read it until it breaks."""
         uri = f"coap://{self.endpoint}/feed"
         req = context.request(Message(code=GET, uri=uri, observe=0))
         try:
             first = await asyncio.wait_for(req.response, self.load.request_timeout_s)
         except (aiocoap.error.Error, OSError, TimeoutError) as exc:
-            self.fail_to_open(type(exc).__name__)
+            self.record_open_failure(type(exc).__name__)
             return
         if not first.code.is_successful() or first.opt.observe is None:
-            self.fail_to_open(str(first.code))
+            self.record_open_failure(str(first.code))
             return
         self.target = ""
         self.tally.count("watches-opened", self.service)
         await self.follow(first, aiter(req.observation))
 
-    def fail_to_open(self, cause):
-        """Count a watch that did not come about."""
+    def record_open_failure(self, cause):
+        """Count a watch that could not be opened."""
         if not self.stopped:
-            log.info("Watch {} was not opened: {}.", self.name, cause)
+            log.info("Watch {} could not be opened: {}.", self.name, cause)
             self.tally.count(f"watch-not-opened {cause}", self.service)
 
     async def follow(self, first, notifications):
-        """Read notifications until one is missing or wrong."""
-        opened_s = self.heard_s = self.clock.seconds()
+        """Read notifications until one is overdue or wrong, or the watch ends."""
+        opened_s = self.last_heard_s = self.clock.seconds()
         self.is_open = True
-        note = first
+        notification = first
         while True:
-            if not note.code.is_successful():
-                cause = f"ended with {note.code}"
+            if not notification.code.is_successful():
+                cause = f"ended with {notification.code}"
                 break
-            if not self.accept(note):
+            if not self.accept(notification):
                 cause = "wrong"
                 break
-            self.heard_s = self.clock.seconds()
+            self.last_heard_s = self.clock.seconds()
             try:
-                note = await asyncio.wait_for(anext(notifications), self.load.silence_s)
+                notification = await asyncio.wait_for(
+                    anext(notifications), self.load.silence_s
+                )
             except TimeoutError:
                 cause = "silent"
                 break
@@ -96,12 +98,12 @@
                 cause = type(exc).__name__
                 break
         self.is_open = False
-        self.break_off(opened_s, cause)
+        self.record_broken(opened_s, cause)
 
-    def accept(self, note):
-        """Tell whether a notification comes from the watch's own target."""
+    def accept(self, notification):
+        """Return whether a notification comes from the target of this watch."""
         try:
-            body = json.loads(note.payload)
+            body = json.loads(notification.payload)
         except ValueError:
             return False
         if not isinstance(body, dict) or body.get("service") != self.service:
@@ -110,12 +112,14 @@
         self.tally.count("notifications", self.service)
         return self.target == body.get("target")
 
-    def break_off(self, opened_s, cause):
-        """Count a broken watch, unless it was let go."""
+    def record_broken(self, opened_s, cause):
+        """Record a broken watch, unless it was stopped."""
         if self.stopped:
             return
         now_s = self.clock.seconds()
         log.info("Watch {} on {} broke: {}.", self.name, self.target, cause)
         self.tally.broken.append(
-            BrokenWatch(self.service, self.target, opened_s, self.heard_s, now_s, cause)
+            BrokenWatch(
+                self.service, self.target, opened_s, self.last_heard_s, now_s, cause
+            )
         )
