--- a/kumquatshift/standins/direct_flows.py
+++ b/kumquatshift/standins/direct_flows.py
@@ -234,7 +234,7 @@
     def close(self) -> None:
         """Close the flow, if there is one."""
         if self._is_open:
-            self._send_packet(FIN | ACK)
+            self._packet(FIN | ACK)
         self._drop_flow()
 
     def receive(self, packet: bytes) -> None:
@@ -251,7 +251,7 @@
         elif self._request and packet[HEAD_BYTES:][:16] == self._request.name:
             self._seq = head.ack
             self._ack = (head.seq + ANSWER_BYTES) & SEQUENCE_MASK
-            self._send_packet(ACK)
+            self._packet(ACK)
             self._end(Outcome.ANSWERED)
 
     def _start_attempt(self):
@@ -263,9 +263,9 @@
         self._has_flow = True
         self._echo = 0
         self._seq = self._port * 104_729 & SEQUENCE_MASK
-        self._send_packet(SYN)
+        self._packet(SYN)
         for copy, after_s in enumerate(SYN_RETRANSMIT_TIMES_S, 1):
-            self._schedule(after_s, self._send_packet, SYN, copy)
+            self._schedule(after_s, self._packet, SYN, copy)
         self._schedule(OPEN_TIMEOUT_S, self._handle_open_timeout)
 
     def _handle_syn_ack(self, head):
@@ -280,11 +280,11 @@
 
     def _send_request(self, interval_s):
         data = self._request.name.ljust(REQUEST_BYTES, b".")
-        self._send_packet(ACK, data=data)
+        self._packet(ACK, data=data)
         next_interval_s = min(MAX_RETRANSMIT_S, interval_s * 2)
         self._schedule(interval_s, self._send_request, next_interval_s)
 
-    def _send_packet(self, flags, copy=0, data=b""):
+    def _packet(self, flags, copy=0, data=b""):
         ack = copy if flags == SYN else self._ack
         head = Head(
             flags,
