--- a/kumquatshift/measures/packet_lanes.py
+++ b/kumquatshift/measures/packet_lanes.py
@@ -173,8 +173,8 @@
             record = Record(key, target, SERVICE_VERSION, int(now * 1000))
             flow = table.put(record, bucket_of(key), now)
             flow.holders = node.members.ring.holders(flow.bucket)
-            flow.placed_at = now
-            flow.proven = True
+            flow.replicated_at = now
+            flow.fully_replicated = True
             self._live_on(number)
 
     def flows_of_primary(self, number: int) -> list[bytes]:
--- a/kumquatshift/measures/request_site.py
+++ b/kumquatshift/measures/request_site.py
@@ -11,7 +11,12 @@
 from aiocoap.numbers.types import Type
 from twisted.internet.task import Clock
 
-from ..engine.decisions import Forward, Pass, Refuse, Return
+from ..engine.decisions import (
+    ForwardToTarget,
+    Refuse,
+    ReplicateAndForward,
+    ReturnToCaller,
+)
 from ..engine.messages import Record
 from ..engine.objects import Mode, Profile, Target
 from ..engine.requests import RequestPolicy
@@ -59,7 +64,7 @@
 
 
 class Entry:
-    """An entry, which is also its own `Standing`."""
+    """An entry, which is also its own `FlowAuthority`."""
 
     def __init__(self, site, name, make_policy):
         self.site, self.name, self.make_policy = site, name, make_policy
@@ -100,11 +105,11 @@
         """Tell whether this entry decides."""
         return self.primary() is self
 
-    def is_certain(self, flow):
+    def has_quorum(self, flow):
         """Tell whether two of the three holders know all, and will be asked."""
         inside = self in self.site.entries[:HOLDERS]
-        witnesses = len(self.holders()) + self.is_quiet_time_over()
-        return inside and witnesses >= WITNESSES
+        voters = len(self.holders()) + self.is_quiet_time_over()
+        return inside and voters >= WITNESSES
 
     def tick(self):
         """Let the policy's time pass."""
@@ -137,22 +142,22 @@
     def carry_out(self, decisions):
         """Do what the policy decided."""
         for decision in decisions:
-            if isinstance(decision, Return):
+            if isinstance(decision, ReturnToCaller):
                 self.to_caller(decision.data)
-            elif isinstance(decision, Pass):
+            elif isinstance(decision, ForwardToTarget):
                 self.to_target(decision.target, decision.data)
-            elif isinstance(decision, Forward) or (
-                isinstance(decision, Refuse) and decision.note
+            elif isinstance(decision, ReplicateAndForward) or (
+                isinstance(decision, Refuse) and decision.record_fields
             ):
-                note = decision.note
+                record_fields = decision.record_fields
                 record = Record(
-                    note.key,
-                    note.target,
+                    record_fields.key,
+                    record_fields.target,
                     1,
-                    note.born_ms,
-                    note.epoch,
+                    record_fields.born_ms,
+                    record_fields.epoch,
                     False,
-                    note.detail,
+                    record_fields.detail,
                 )
                 self.along(self.holders(), record, decision.data, first=True)
             elif isinstance(decision, Refuse):
