--- a/kumquatshift/measures/__init__.py
+++ b/kumquatshift/measures/__init__.py
@@ -1,4 +1,4 @@
-"""What the project measures of itself, and the bounds that must hold.
+"""Benchmarks and simulations of the load balancer, with the bounds on their results.
 
-`make measure` runs it all, prints one table and writes build/measures.json.
+`make measure` runs them all, prints one table and writes build/measures.json.
 """
--- a/kumquatshift/measures/__main__.py
+++ b/kumquatshift/measures/__main__.py
@@ -1,4 +1,4 @@
-"""``python -m kumquatshift.measures``: run every measure."""
+"""``python -m kumquatshift.measures``: run all measurements."""
 
 import sys
 import time
@@ -12,10 +12,10 @@
 
 
 class MonotonicClock:
-    """The time that passes, for runs without a reactor."""
+    """Real-time clock for runs without a Twisted reactor."""
 
     def seconds(self) -> float:
-        """Return a time in seconds that never goes back."""
+        """Return the monotonic time in seconds."""
         return time.monotonic()
 
 
--- a/kumquatshift/measures/allowances.py
+++ b/kumquatshift/measures/allowances.py
@@ -1,4 +1,4 @@
-"""Ways to share targets among entries, in one table.
+"""Compares schemes by which entries share the capacity of targets.
 
 Run it with ``python -m kumquatshift.measures.allowances``; it takes about a
 minute and prints the table of docs/DESIGN-REQUESTS.md.
@@ -32,32 +32,32 @@
 RUN_S = 40.0
 SEED = 20
 
-#: Owners tell their backlog with each heartbeat.
+#: Owners report their load with each heartbeat.
 HEARTBEAT_S = 1.0
 
-#: Owners that are asked besides the first: for a free slot, then to wait.
-TRIES_ELSEWHERE = 2
+#: Owners asked after the first one: for a free slot, and then to queue the request.
+OTHER_OWNERS_TRIED = 2
 SERVICE = "stock"
 PROFILES = {SERVICE: PLAIN}
 
-#: Unequal shares of the flows that the entries are primary of.
-SPRAY = [0.5, 0.6, 0.8, 0.9, 1.0, 1.1, 1.2, 1.4, 1.5]
+#: Relative shares of the flows of which each entry is primary. They are unequal.
+ENTRY_WEIGHTS = [0.5, 0.6, 0.8, 0.9, 1.0, 1.1, 1.2, 1.4, 1.5]
 
 
 class RoundRobinPool:
-    """The naive version: each target in turn, whatever it bears."""
+    """Naive baseline: round robin over the targets, whatever their capacity."""
 
     def __init__(self, targets: list[Target]):
-        self.targets, self.turn = targets, 0
+        self.targets, self.next_index = targets, 0
 
     def claim(self, claim: Claim, now: float, wait: bool = True):
         """Grant the next target."""
-        self.turn += 1
-        target = self.targets[self.turn % len(self.targets)]
+        self.next_index += 1
+        target = self.targets[self.next_index % len(self.targets)]
         return Granted(claim.ticket, target.name)
 
     def release(self, ticket, outcome, now, max_age_s=0.0):
-        """Learn nothing."""
+        """Ignore the outcome."""
         return []
 
     def tick(self, now):
@@ -66,17 +66,17 @@
 
 
 class ConfidencePool:
-    """Confidence bounds on unknown capacity.
+    """Admission control by upper confidence bounds on the cost of a request.
 
-    Each decider keeps, for each target, an upper confidence bound on the slot
-    time that one request costs (a shed or lost one costs the whole second),
-    and takes the target's capacity for slots over that bound, shared by all
-    deciders. It admits the share of its arrivals that fits, and spreads them
-    in proportion.
+    For each target, each deciding entry keeps an upper confidence bound on the slot
+    time that one request takes (a full second for a shed or lost one). It estimates
+    the target's capacity as the number of slots divided by that bound, shared equally
+    by all deciding entries. It admits the share of its arrivals that fits the total,
+    and spreads them over the targets in proportion to their capacity.
     """
 
-    def __init__(self, targets: list[Target], chance, deciders: int):
-        self.targets, self.chance, self.deciders = targets, chance, deciders
+    def __init__(self, targets: list[Target], rng, deciders: int):
+        self.targets, self.rng, self.deciders = targets, rng, deciders
         self.sums = {target.name: 0.0 for target in targets}
         self.counts = {target.name: 0 for target in targets}
         self.leases: dict[bytes, tuple[str, float]] = {}
@@ -84,23 +84,23 @@
         self.rounds = 1
 
     def claim(self, claim: Claim, now: float, wait: bool = True):
-        """Admit a claim with the share that fits; never let it wait."""
+        """Admit a claim with the probability that fits the capacity; never queue it."""
         self.rounds += 1
         self.arrivals = [at for at in self.arrivals if now - at < 5.0]
         self.arrivals.append(now)
         rate = len(self.arrivals) / min(5.0, max(1.0, now))
-        bears = [
+        capacities = [
             target.slots / self._cost_bound_s(target.name) / self.deciders
             for target in self.targets
         ]
-        if self.chance.random() > sum(bears) / rate:
+        if self.rng.random() > sum(capacities) / rate:
             return Rejected(claim.ticket, Rejection.QUEUE_FULL, 1.0)
-        target = self.chance.choices(self.targets, bears)[0]
+        target = self.rng.choices(self.targets, capacities)[0]
         self.leases[claim.ticket] = (target.name, now)
         return Granted(claim.ticket, target.name)
 
     def release(self, ticket, outcome, now, max_age_s=0.0):
-        """Learn what the request cost."""
+        """Record the slot time that the request took."""
         name, since = self.leases.pop(ticket)
         cost_s = min(1.0, now - since) if outcome is Outcome.GOOD else 1.0
         self.sums[name] += cost_s
@@ -126,18 +126,19 @@
         return max(low, 1e-3)
 
 
-class ConfidenceAllowance(Allowance):
-    """Grows only when a confidence bound says that the target bears it.
+class ConfidenceLimiter(Allowance):
+    """Raises the limit only if a confidence bound shows that the target can take it.
 
-    The bound is the lower one on the chance that a request at the present
-    limit is answered in a usual time; it must pass `BOUND_TO_GROW`.
+    It is the lower confidence bound on the probability that a request at the
+    current limit is answered without a jump in latency; it must be at least
+    `MIN_BOUND_TO_GROW`.
     """
 
     def good(self, service: str, latency_s: float, peers_s: float, now: float):
-        """Note an answer; with no jump and enough of them, allow one more."""
+        """Record a success; raise the limit by one if the bound allows it."""
         seen = self.good_in_row
         super().good(service, latency_s, peers_s, now)
-        if self.good_in_row > seen and self._bound() < BOUND_TO_GROW:
+        if self.good_in_row > seen and self._bound() < MIN_BOUND_TO_GROW:
             return
         self.limit = min(self.ceiling, self.limit + (self.good_in_row > seen))
 
@@ -149,7 +150,7 @@
         return math.exp(-math.log(answers) / answers)
 
 
-BOUND_TO_GROW = 0.9
+MIN_BOUND_TO_GROW = 0.9
 
 
 def _divergence(mean, other):
@@ -162,7 +163,7 @@
 
 @dataclass(frozen=True)
 class Scheme:
-    """One way to share targets; ``messages`` are those between entries."""
+    """A way to share targets; ``messages`` counts those between entries."""
 
     name: str
     messages: int
@@ -177,7 +178,7 @@
     targets = list(model.config.values())
     model.pools = [RoundRobinPool(targets) for _ in range(DECIDERS)]
     for pool in model.pools:
-        pool.turn = model.chance.randrange(HOSTS)
+        pool.next_index = model.rng.randrange(HOSTS)
 
 
 def _independent(model):
@@ -185,8 +186,8 @@
     model.pools = [_pool(targets) for _ in range(DECIDERS)]
 
 
-def _ranked(model):
-    """Give each slot to one decider for good."""
+def _fixed_slots(model):
+    """Assign each slot permanently to one deciding entry."""
     owned = [[] for _ in range(DECIDERS)]
     slots = [(target, n) for n in range(SLOTS) for target in model.config.values()]
     for i, (target, _) in enumerate(slots):
@@ -210,52 +211,52 @@
     model.pools = [_pool(targets, model.profiles) for targets in groups.values()]
     sizes = [len(targets) for targets in groups.values()]
     indexes = range(len(sizes))
-    known = [0.0] * len(sizes)
+    known_loads = [0.0] * len(sizes)
 
-    def hear():
-        known[:] = [pool.load() for pool in model.pools]
-        model.timeline.later(HEARTBEAT_S, hear)
+    def update_known_loads():
+        known_loads[:] = [pool.load() for pool in model.pools]
+        model.timeline.call_later(HEARTBEAT_S, update_known_loads)
 
-    hear()
+    update_known_loads()
 
     def route(decider):
-        first = min(model.chance.choices(indexes, sizes, k=2), key=known.__getitem__)
+        first = min(model.rng.choices(indexes, sizes, k=2), key=known_loads.__getitem__)
         others = [i for i in indexes if i != first]
-        model.chance.shuffle(others)
-        return [first, *others[:TRIES_ELSEWHERE]]
+        model.rng.shuffle(others)
+        return [first, *others[:OTHER_OWNERS_TRIED]]
 
     model.route = route
     model.hops = 5
 
 
 def _primary_per_domain(model):
-    """Let a domain's primary of the service decide for the domain's targets."""
+    """Have one primary per domain decide for the targets of the domain."""
     groups = {}
     for target in model.config.values():
         groups.setdefault(target.domain, []).append(target)
     model.pools = [_pool(targets, model.profiles) for targets in groups.values()]
     sizes = [len(targets) for targets in groups.values()]
-    model.route = lambda flow: model.chance.choices(range(len(sizes)), sizes)
+    model.route = lambda flow: model.rng.choices(range(len(sizes)), sizes)
 
 
 def _primary_per_service(model):
-    """Let the service's primary decide for all its targets."""
+    """Have the primary of the service decide for all its targets."""
     model.pools = [_pool(list(model.config.values()), model.profiles)]
     model.route = lambda flow: [0]
 
 
 def _primary_with_bounds(model):
-    """Let growth of the allowances wait for confidence bounds."""
+    """Use one primary per service, with limits that grow by confidence bounds."""
     _primary_per_service(model)
     hosts = model.pools[0].hosts
     for host, allowance in hosts.items():
-        hosts[host] = ConfidenceAllowance(allowance.ceiling, allowance.since)
+        hosts[host] = ConfidenceLimiter(allowance.ceiling, allowance.since)
 
 
 SCHEMES = (
     Scheme("naive round robin", 2, _naive),
     Scheme("independent shares", 2, _independent),
-    Scheme("fixed shares, a slot each", 2, _ranked),
+    Scheme("fixed shares, a slot each", 2, _fixed_slots),
     Scheme("confidence bounds", 2, _confidence),
     Scheme("owner per target", 5, lambda model: _owner_per(model, lambda t: t.host)),
     Scheme("owner per domain", 5, lambda model: _owner_per(model, lambda t: t.domain)),
@@ -267,9 +268,9 @@
 
 
 def build(scheme: Scheme, seed: int = SEED) -> Model:
-    """Make a model of the site, shared by a scheme, with all targets warm."""
+    """Create a model that uses a scheme, with all targets warm."""
     model = Model(site_targets(HOSTS, (SERVICE,)), PROFILES, seed)
-    model.weights = SPRAY
+    model.weights = ENTRY_WEIGHTS
     scheme.build(model)
     warm_up(model)
     return model
@@ -278,7 +279,7 @@
 def offered(
     scheme: Scheme, share: float, seconds: float = RUN_S, seed: int = SEED
 ) -> Model:
-    """Run a scheme at a share of the capacity."""
+    """Run a scheme with an offered load that is a share of the capacity."""
     model = build(scheme, seed)
     model.offer(Load(SERVICE, share * CAPACITY, 0.0, seconds))
     model.run(seconds)
@@ -286,11 +287,11 @@
 
 
 def with_cold_start(scheme: Scheme, seed: int = SEED) -> Model:
-    """Admit one target that is cold, at 70% of the capacity."""
+    """Run at 70% of the capacity with one target cold at the start."""
     model = build(scheme, seed)
     _note_when_warm(model, "h0")
     cold = model.targets["h0"]
-    cold.turn_cold()
+    cold.make_cold()
     for pool in model.pools:
         if isinstance(pool, SlotPool):
             pool.renew("h0", 0.0)
@@ -300,62 +301,65 @@
 
 
 def _note_when_warm(model, host):
-    """Set ``model.warm_at`` once a decider gives the host all its slots."""
+    """Set ``model.warm_at`` when the limit of the host has reached all its slots."""
 
-    def look():
+    def check_warm():
         pools = [pool for pool in model.pools if host in getattr(pool, "hosts", ())]
         now = model.timeline.now
         if now and any(pool.hosts[host].is_warm for pool in pools):
             model.warm_at = now
         else:
-            model.timeline.later(TICK_S, look)
+            model.timeline.call_later(TICK_S, check_warm)
 
-    look()
+    check_warm()
 
 
 def with_silent_turn(scheme: Scheme, seed: int = SEED) -> Model:
-    """Let a target turn cold without a sign, three times, at 70%."""
+    """Run at 70% of the capacity; one target turns cold three times, unreported."""
     model = build(scheme, seed)
     for at in (5.0, 15.0, 25.0):
-        model.timeline.later(at, model.targets["h1"].turn_cold)
+        model.timeline.call_later(at, model.targets["h1"].make_cold)
     model.offer(Load(SERVICE, 0.7 * CAPACITY, 0.0, RUN_S))
     model.run(RUN_S)
     return model
 
 
-def with_liar(scheme: Scheme, lag_s: float = 0.0) -> Model:
-    """Let a target fail fast for 20 s, and say that it is idle, at 70%."""
+def with_false_health_reports(scheme: Scheme, lag_s: float = 0.0) -> Model:
+    """Run at 70% of the capacity; one target fails fast for 20 s and reports no load.
+
+    The reports of all targets are ``lag_s`` old when they arrive.
+    """
     model = build(scheme)
     failing = model.targets["h2"]
 
-    def say():
+    def report_loads():
         for pool in model.pools:
             if isinstance(pool, SlotPool):
                 for host, target in model.targets.items():
                     load = 0.0 if target is failing else 0.7
                     pool.report(host, load, model.timeline.now - lag_s)
-        model.timeline.later(1.0, say)
+        model.timeline.call_later(1.0, report_loads)
 
-    say()
-    model.timeline.later(5.0, setattr, failing, "is_failing", True)
-    model.timeline.later(25.0, setattr, failing, "is_failing", False)
+    report_loads()
+    model.timeline.call_later(5.0, setattr, failing, "is_failing", True)
+    model.timeline.call_later(25.0, setattr, failing, "is_failing", False)
     model.offer(Load(SERVICE, 0.7 * CAPACITY, 0.0, RUN_S))
     model.run(RUN_S)
     return model
 
 
 def imbalance(model: Model) -> float:
-    """Return the greatest work of a target over the mean."""
+    """Return the maximum over the mean of the targets' busy times."""
     work = [target.busy_s for target in model.targets.values()]
     return max(work) * len(work) / sum(work)
 
 
 def row(scheme: Scheme) -> list:
-    """Measure one scheme; one row of the table."""
+    """Measure one scheme; return its row of the table."""
     steady, full = offered(scheme, 0.7), offered(scheme, 0.95)
     flood, start = offered(scheme, 3.0, 20.0), with_cold_start(scheme)
-    turn, liar = with_silent_turn(scheme), with_liar(scheme)
-    lagging = with_liar(scheme, lag_s=30.0)
+    silent, false_reports = with_silent_turn(scheme), with_false_health_reports(scheme)
+    late_false_reports = with_false_health_reports(scheme, lag_s=30.0)
     tally = steady.tallies[SERVICE]
     return [
         scheme.name,
@@ -363,10 +367,10 @@
         sum(target.overloads for target in steady.targets.values()),
         start.targets["h0"].cold_overloads,
         "" if start.warm_at is None else f"{start.warm_at:.1f}",
-        turn.targets["h1"].cold_overloads,
-        start.targets["h0"].falls + turn.targets["h1"].falls,
-        liar.tallies[SERVICE].shed,
-        lagging.tallies[SERVICE].shed,
+        silent.targets["h1"].cold_overloads,
+        start.targets["h0"].falls + silent.targets["h1"].falls,
+        false_reports.tallies[SERVICE].shed,
+        late_false_reports.tallies[SERVICE].shed,
         f"{1 - tally.answered_share:.3f}",
         f"{tally.p99_s() * 1000:.0f}",
         f"{imbalance(steady):.2f}",
--- a/kumquatshift/measures/coap_packets.py
+++ b/kumquatshift/measures/coap_packets.py
@@ -1,4 +1,4 @@
-"""CoAP messages in IPv4/UDP packets, as callers and targets send them."""
+"""Builds and decodes CoAP messages in IPv4/UDP packets, for tests and simulations."""
 
 import socket
 import struct
@@ -29,7 +29,7 @@
 
 
 def message(code, mid, token=b"", kind=Type.CON, payload=b"", **options):
-    """Return the bytes of a CoAP message; options go by keyword."""
+    """Return an encoded CoAP message; CoAP options are keyword arguments."""
     msg = Message(code=code, payload=payload, _mtype=kind, _mid=mid, _token=token)
     for name, value in options.items():
         setattr(msg.opt, name, value)
@@ -37,13 +37,13 @@
 
 
 def request(code, mid, token, payload=b"", kind=Type.CON, caller=CALLER, **options):
-    """Return a caller's request in its packet."""
+    """Return a packet with a request from a caller."""
     options.setdefault("uri_path", ("hold",))
     return packet(message(code, mid, token, kind, payload, **options), src=caller)
 
 
 def reply(seen, code=Code.CONTENT, payload=b"", kind=Type.ACK, mid=None, **options):
-    """Answer the request in the packet ``seen`` as a target would."""
+    """Return the packet with which a target answers the request packet ``seen``."""
     req = read(seen)
     mid = req.mid if mid is None else mid
     data = message(code, mid, req.token, kind, payload, **options)
@@ -52,7 +52,7 @@
 
 
 def signal(kind, mid, src=CALLER, dst=SERVICE):
-    """Return an empty ACK, RST or ping in its packet."""
+    """Return a packet with an empty CoAP message: an ACK, an RST or a ping."""
     return packet(bytes((0x40 | kind << 4, 0)) + struct.pack("!H", mid), src, dst)
 
 
@@ -62,7 +62,7 @@
 
 
 def ends(data):
-    """Return the two (address, port) ends of a packet."""
+    """Return the source and the destination of a packet, each as (address, port)."""
     ip = dpkt.ip.IP(data)
     src, dst = socket.inet_ntoa(ip.src), socket.inet_ntoa(ip.dst)
     return (src, ip.data.sport), (dst, ip.data.dport)
--- a/kumquatshift/measures/load_model.py
+++ b/kumquatshift/measures/load_model.py
@@ -1,8 +1,8 @@
-"""A small model of targets under load, and of entries that share them.
+"""Discrete-event simulation of targets under load, and of entries that share them.
 
-Targets have slots; a cold one bears one request at a time, is slower, and
-falls over when it gets much more. Entries decide by pools of slots. Time is
-simulated, chance is seeded, so a run gives the same figures every time.
+A target has slots; a cold one can run one request at a time, is slower, and crashes
+if it gets many more. Entries grant the slots from pools. Time is simulated and
+the random generator is seeded, so every run gives the same results.
 """
 
 import heapq
@@ -19,33 +19,33 @@
 SERVICE_SHAPE = 4.0
 COLD_SLOWDOWN = 4.0
 COLD_S = 5.0
-COLD_BEARS = 1
-FALL_OVER_EXCESS = 3
-FALL_OVER_WINDOW_S = 1.0
-DOWN_S = 2.0
+COLD_SLOTS = 1
+CRASH_EXCESS_REQUESTS = 3
+CRASH_WINDOW_S = 1.0
+CRASH_DOWNTIME_S = 2.0
 TARGET_BACKLOG = 2
 HOP_S = 0.0005
 TICK_S = 0.05
 DEADLINE_S = 5.0
 SHED_MAX_AGE_S = 1.0
-FAILING_S = 0.005
+FAILURE_LATENCY_S = 0.005
 
 
 class Timeline:
-    """Simulated time: calls what was asked for, in order."""
+    """Simulated clock; makes scheduled calls in the order of their times."""
 
     def __init__(self):
         self.now = 0.0
         self._calls: list[tuple[float, int, Callable, tuple]] = []
         self._order = count()
 
-    def later(self, delay_s: float, call: Callable, *args):
-        """Call ``call`` after a delay in seconds."""
+    def call_later(self, delay_s: float, call: Callable, *args):
+        """Schedule ``call`` after a delay in seconds."""
         when = self.now + delay_s
         heapq.heappush(self._calls, (when, next(self._order), call, args))
 
     def run(self, until_s: float):
-        """Make all calls up to a time."""
+        """Make all calls that are due up to a time."""
         while self._calls and self._calls[0][0] <= until_s:
             self.now, _, call, args = heapq.heappop(self._calls)
             call(*args)
@@ -54,7 +54,7 @@
 
 @dataclass
 class Request:
-    """One request on its way through the model."""
+    """A request in the model; ``owner`` is the index of the pool that decides on it."""
 
     number: int
     service: str
@@ -64,14 +64,14 @@
 
 
 class ModelTarget:
-    """A host with slots; it may be cold, fail, or fall over."""
+    """A host with slots; it may be cold, fail requests, or crash."""
 
-    def __init__(self, timeline: Timeline, host: str, slots: int, chance):
-        self.timeline, self.host, self.slots, self.chance = (
+    def __init__(self, timeline: Timeline, host: str, slots: int, rng):
+        self.timeline, self.host, self.slots, self.rng = (
             timeline,
             host,
             slots,
-            chance,
+            rng,
         )
         self.running = 0
         self.waiting: list = []
@@ -79,65 +79,65 @@
         self.down_until = 0.0
         self.is_failing = False
         self.generation = 0
-        self.excess: list[float] = []
+        self.excess_at: list[float] = []
         self.busy_s = 0.0
         self.overloads = self.cold_overloads = self.sheds = self.falls = 0
 
     def is_cold(self) -> bool:
-        """Whether the host bears little now."""
+        """Return whether the host has reduced capacity now."""
         return self.timeline.now < self.cold_until
 
-    def turn_cold(self):
-        """Restart, or lose the caches, without telling anyone."""
+    def make_cold(self):
+        """Turn cold, as after a restart or a loss of caches, without any report."""
         self.cold_until = self.timeline.now + COLD_S
 
     def arrive(self, answer: Callable[[Outcome], None]):
-        """Take a request; ``answer`` is called at its end, or never."""
+        """Receive a request; ``answer`` gets its outcome, or is never called."""
         if self.timeline.now < self.down_until:
             return
         if self.is_failing:
-            self.timeline.later(FAILING_S, answer, Outcome.FAILED)
+            self.timeline.call_later(FAILURE_LATENCY_S, answer, Outcome.FAILED)
             return
-        bears = COLD_BEARS if self.is_cold() else self.slots
-        if self.running < bears:
+        usable_slots = COLD_SLOTS if self.is_cold() else self.slots
+        if self.running < usable_slots:
             self._run(answer)
             return
-        self._note_excess()
+        self._count_excess()
         if self.timeline.now < self.down_until:
             return
         if not self.is_cold() and len(self.waiting) < TARGET_BACKLOG:
             self.waiting.append(answer)
             return
         self.sheds += 1
-        self.timeline.later(0.0, answer, Outcome.SHED)
+        self.timeline.call_later(0.0, answer, Outcome.SHED)
 
-    def _note_excess(self):
+    def _count_excess(self):
         now = self.timeline.now
         self.overloads += 1
         if not self.is_cold():
             return
         self.cold_overloads += 1
-        self.excess = [at for at in self.excess if now - at < FALL_OVER_WINDOW_S]
-        self.excess.append(now)
-        if len(self.excess) >= FALL_OVER_EXCESS:
-            self._fall_over()
+        self.excess_at = [at for at in self.excess_at if now - at < CRASH_WINDOW_S]
+        self.excess_at.append(now)
+        if len(self.excess_at) >= CRASH_EXCESS_REQUESTS:
+            self._crash()
 
-    def _fall_over(self):
+    def _crash(self):
         self.falls += 1
         self.generation += 1
         self.running = 0
         self.waiting.clear()
-        self.excess.clear()
-        self.down_until = self.timeline.now + DOWN_S
+        self.excess_at.clear()
+        self.down_until = self.timeline.now + CRASH_DOWNTIME_S
         self.cold_until = self.down_until + COLD_S
 
     def _run(self, answer):
         self.running += 1
-        took_s = self.chance.gammavariate(SERVICE_SHAPE, SERVICE_S / SERVICE_SHAPE)
+        service_s = self.rng.gammavariate(SERVICE_SHAPE, SERVICE_S / SERVICE_SHAPE)
         if self.is_cold():
-            took_s *= COLD_SLOWDOWN
-        self.busy_s += took_s
-        self.timeline.later(took_s, self._end, answer, self.generation)
+            service_s *= COLD_SLOWDOWN
+        self.busy_s += service_s
+        self.timeline.call_later(service_s, self._end, answer, self.generation)
 
     def _end(self, answer, generation):
         if generation != self.generation:
@@ -150,7 +150,10 @@
 
 @dataclass
 class Tally:
-    """What became of the requests of one service; latencies in seconds."""
+    """Outcomes of the requests of one service.
+
+    ``ends`` has the time of each outcome, and whether it was a success.
+    """
 
     offered: int = 0
     refused: int = 0
@@ -161,18 +164,18 @@
 
     @property
     def answered_share(self) -> float:
-        """Share of the offered requests that got a good answer."""
+        """Share of the offered requests that were answered successfully."""
         return len(self.latencies_s) / max(1, self.offered)
 
     def p99_s(self) -> float:
-        """Return the 99th percentile of the latencies."""
+        """Return the 99th percentile of the latencies in seconds."""
         ordered = sorted(self.latencies_s) or [0.0]
         return ordered[min(len(ordered) - 1, int(len(ordered) * 0.99))]
 
 
 @dataclass(frozen=True)
 class Load:
-    """Requests of one service: a rate per second between two times."""
+    """Requests of one service at a mean rate per second between two times."""
 
     service: str
     rate: float
@@ -181,24 +184,25 @@
 
 
 class Model:
-    """Targets, pools and arrivals put together.
+    """Simulation of arrivals, the pools that grant slots, and the targets.
 
-    Between the two times of ``gap_s`` all packets to targets are lost, as when
-    a standby is dead and not yet noticed. ``pools`` are what decides; ``route``
-    names, for the decider that a request came to, the pools to ask in turn;
-    ``hops`` counts the messages that a request takes until its target has it.
+    Between the two times of ``loss_window_s`` all packets to targets are lost, as
+    when a standby has died and this is not yet detected. ``weights`` are the relative
+    shares of the requests that arrive at each entry; ``route`` maps the index of that
+    entry to the indexes of the ``pools`` to ask one after another. ``hops`` is the
+    number of messages until a request reaches its target.
     """
 
     def __init__(self, targets: list[Target], profiles: dict[str, Profile], seed: int):
         self.timeline = Timeline()
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.profiles = profiles
         self.config = {target.name: target for target in targets}
         self.targets = {}
         for target in targets:
             self.targets.setdefault(
                 target.host,
-                ModelTarget(self.timeline, target.host, target.slots, self.chance),
+                ModelTarget(self.timeline, target.host, target.slots, self.rng),
             )
         self.tallies = {service: Tally() for service in profiles}
         self.pools: list = []
@@ -206,58 +210,65 @@
         self.hops = 3
         self.weights = [1.0]
         self.warm_at: float | None = None
-        self.gap_s = (0.0, 0.0)
+        self.loss_window_s = (0.0, 0.0)
         self._waiting: dict[bytes, Request] = {}
         self._numbers = count()
 
     def offer(self, load: Load):
-        """Let requests of a service come, at random, at a mean rate."""
-        self.timeline.later(load.start_s - self.timeline.now, self._next, load)
+        """Schedule requests of a service as a Poisson process."""
+        self.timeline.call_later(
+            load.start_s - self.timeline.now, self._next_arrival, load
+        )
 
     def run(self, until_s: float):
-        """Run the model up to a time."""
+        """Run the simulation up to a time."""
         self._tick(until_s)
         self.timeline.run(until_s)
 
     def _tick(self, until_s):
         now = self.timeline.now
         for pool in self.pools:
-            self._settle(pool.tick(now))
+            self._handle_verdicts(pool.tick(now))
         if now + TICK_S < until_s:
-            self.timeline.later(TICK_S, self._tick, until_s)
+            self.timeline.call_later(TICK_S, self._tick, until_s)
 
-    def _next(self, load):
+    def _next_arrival(self, load):
         if self.timeline.now >= load.end_s:
             return
-        self.timeline.later(self.chance.expovariate(load.rate), self._next, load)
+        self.timeline.call_later(
+            self.rng.expovariate(load.rate), self._next_arrival, load
+        )
         self.tallies[load.service].offered += 1
-        decider = self.chance.choices(range(len(self.weights)), self.weights)[0]
+        decider = self.rng.choices(range(len(self.weights)), self.weights)[0]
         req = Request(next(self._numbers), load.service, self.timeline.now)
         self._ask(req, self.route(decider))
 
     def _ask(self, req, pools):
-        """Ask the pools for a free slot, and then, one by one, to wait."""
+        """Ask each pool for a free slot, and then each to queue the request.
+
+        The first round is left out if there is only one pool.
+        """
         claim = Claim(
             b"%d" % req.number,
             req.service,
             self.profiles[req.service].priority,
             req.arrived + DEADLINE_S,
         )
-        tries = [(pool, False) for pool in pools if len(pools) > 1]
-        for pool, wait in tries + [(pool, True) for pool in pools]:
+        attempts = [(pool, False) for pool in pools if len(pools) > 1]
+        for pool, wait in attempts + [(pool, True) for pool in pools]:
             req.owner = pool
             verdict = self.pools[pool].claim(claim, self.timeline.now, wait=wait)
             if not isinstance(verdict, Rejected):
                 break
         self._waiting[claim.ticket] = req
-        self._settle([verdict])
+        self._handle_verdicts([verdict])
 
-    def _settle(self, verdicts):
+    def _handle_verdicts(self, verdicts):
         for verdict in verdicts:
             if isinstance(verdict, Granted):
                 req = self._waiting.pop(verdict.ticket)
                 req.target = verdict.target
-                self.timeline.later(self.hops * HOP_S, self._send, req)
+                self.timeline.call_later(self.hops * HOP_S, self._send, req)
             elif isinstance(verdict, Rejected):
                 req = self._waiting.pop(verdict.ticket)
                 self._count(req, "refused")
@@ -272,8 +283,8 @@
                 self._end(req, outcome)
 
         left_s = req.arrived + DEADLINE_S - self.timeline.now
-        self.timeline.later(max(0.0, left_s), answer, Outcome.LOST)
-        start_s, end_s = self.gap_s
+        self.timeline.call_later(max(0.0, left_s), answer, Outcome.LOST)
+        start_s, end_s = self.loss_window_s
         if not start_s <= self.timeline.now < end_s:
             self.targets[host].arrive(answer)
 
@@ -287,18 +298,18 @@
         max_age_s = SHED_MAX_AGE_S if outcome is Outcome.SHED else 0.0
         ticket = b"%d" % req.number
         pool = self.pools[req.owner]
-        self._settle(pool.release(ticket, outcome, now, max_age_s))
+        self._handle_verdicts(pool.release(ticket, outcome, now, max_age_s))
 
-    def _count(self, req, what):
+    def _count(self, req, outcome_name):
         tally = self.tallies[req.service]
-        setattr(tally, what, getattr(tally, what) + 1)
+        setattr(tally, outcome_name, getattr(tally, outcome_name) + 1)
         tally.ends.append((self.timeline.now, False))
 
 
 def site_targets(
     number: int, services: tuple[str, ...], domains: int = 4, slots: int = 2
 ) -> list[Target]:
-    """Make hosts, spread over domains, that all serve the given services."""
+    """Create targets: each host, in one of the domains, serves all the services."""
     return [
         Target(f"{service}-{i}", service, f"d{i % domains}", f"h{i}", 6080, slots)
         for i in range(number)
@@ -307,7 +318,7 @@
 
 
 def warm_up(model: Model):
-    """Let every pool know every target as warm."""
+    """Mark every target as warm in every pool, by raising its limit to the ceiling."""
     for pool in model.pools:
         for allowance in getattr(pool, "hosts", {}).values():
             allowance.limit = allowance.ceiling
--- a/kumquatshift/measures/measure.py
+++ b/kumquatshift/measures/measure.py
@@ -1,4 +1,4 @@
-"""One figure with its bound, and the table and file that figures go into."""
+"""A measured value with its bound, and the table and JSON file of the results."""
 
 import json
 import math
@@ -13,9 +13,9 @@
 
 @dataclass(frozen=True)
 class Measure:
-    """A figure, its bound in words, and whether the bound holds.
+    """A measured value, its bound as text, and whether the value is within it.
 
-    ``bound`` is empty for a figure that is reported without one.
+    ``bound`` is empty for a value that is reported without one.
     """
 
     name: str
@@ -25,32 +25,32 @@
 
     @property
     def passed(self) -> bool:
-        """Whether the value is a number and its bound holds."""
+        """Whether the value is finite and within its bound."""
         return self.holds and math.isfinite(self.value)
 
 
 def at_most(name: str, value: float, limit: float) -> Measure:
-    """Return a figure that must not be above ``limit``."""
+    """Return a measurement that must not be above ``limit``."""
     return Measure(name, value, f"<= {limit:g}", value <= limit)
 
 
 def at_least(name: str, value: float, limit: float) -> Measure:
-    """Return a figure that must not be below ``limit``."""
+    """Return a measurement that must not be below ``limit``."""
     return Measure(name, value, f">= {limit:g}", value >= limit)
 
 
 def exactly(name: str, value: float, wanted: float) -> Measure:
-    """Return a figure that must be ``wanted``."""
+    """Return a measurement that must equal ``wanted``."""
     return Measure(name, value, f"= {wanted:g}", value == wanted)
 
 
 def reported(name: str, value: float) -> Measure:
-    """Return a figure without a bound."""
+    """Return a measurement without a bound."""
     return Measure(name, value)
 
 
-def table_of(measures: Iterable[Measure], not_run: Iterable[str]) -> str:
-    """Return the figures as a table, those that were not run last."""
+def format_table(measures: Iterable[Measure], not_run: Iterable[str]) -> str:
+    """Format the results as a table, with the measurements not run at the end."""
     rows = [
         (each.name, format(each.value, TABLE_DIGITS), each.bound, _verdict(each))
         for each in measures
@@ -61,7 +61,7 @@
 
 
 def write_json(measures: Iterable[Measure], path: Path) -> None:
-    """Write a flat object from name to number; what is no number is left out."""
+    """Write a flat JSON object of name to value; omit NaN and infinite values."""
     values = {each.name: each.value for each in measures if math.isfinite(each.value)}
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text(json.dumps(values, indent=2) + "\n")
--- a/kumquatshift/measures/naive_requests.py
+++ b/kumquatshift/measures/naive_requests.py
@@ -1,4 +1,7 @@
-"""The naive request policy: its own table, and a retry elsewhere at time-out."""
+"""A naive request policy, as a baseline for the measurements.
+
+It keeps one table per entry and retries on another target after a time-out.
+"""
 
 from itertools import count
 from types import SimpleNamespace
@@ -8,23 +11,23 @@
 from ..engine.decisions import Cause, Pass, Refuse, Return
 from ..errors import ErrorKind
 
-TRY_S = 1.0
-TRIES = 3
+TRY_TIMEOUT_S = 1.0
+MAX_TRIES = 3
 
 
 def naive_policy(entry):
-    """Make the naive policy of one entry."""
+    """Create the naive policy of one entry."""
     return NaivePolicy(sorted(entry.site.targets))
 
 
 class NaivePolicy:
-    """Knows only what came through its own entry; tries again at a time-out."""
+    """Retries after a time-out, and shares no state with other entries."""
 
     def __init__(self, targets):
         self.targets, self.next, self.open = targets, count(), {}
 
     def request(self, service, flow, packet, now):
-        """Send a request to the next target, repeated or not."""
+        """Send a request to the next target, also if it is a retransmission."""
         header = coap.read_header(read_datagram(packet).unwrap().payload).unwrap()
         if header.is_empty:
             return []
@@ -36,29 +39,29 @@
         return self.send(self.open[key], now)
 
     def send(self, req, now):
-        """Try the next target."""
+        """Send the request to the next target, round robin."""
         req.target = self.targets[next(self.next) % len(self.targets)]
         req.tries += 1
-        req.due = now + TRY_S
+        req.due = now + TRY_TIMEOUT_S
         return [Pass(req.target, req.packet)]
 
     def response(self, flow, packet, now):
-        """Give whatever a target says to the caller."""
+        """Pass any response of a target to the caller."""
         header = coap.read_header(read_datagram(packet).unwrap().payload).unwrap()
         self.open.pop((flow, header.token), None)
         return [Return(packet)]
 
     def adopt(self, service, record, now):
-        """Take what others decided for granted."""
+        """Accept every record of another entry."""
         return True
 
     def tick(self, now):
-        """Try again, and in the end say "not run"."""
+        """Retry requests that timed out; after `MAX_TRIES`, refuse as "not run"."""
         decisions = []
         for (flow, token), req in list(self.open.items()):
             if now < req.due:
                 continue
-            if req.tries < TRIES:
+            if req.tries < MAX_TRIES:
                 decisions += self.send(req, now)
                 continue
             del self.open[flow, token]
--- a/kumquatshift/measures/packet_lanes.py
+++ b/kumquatshift/measures/packet_lanes.py
@@ -1,7 +1,8 @@
-"""Real UDP ports on loopback that carry batches of packets, and the time it takes.
+"""Times batches of packets over paths ("lanes") between UDP sockets on loopback.
 
-A batch waits in the receiving socket, so that the time of a lane is that of the
-process alone, not that of whoever sends. Every packet of a batch has to arrive.
+A batch is queued in the receiving socket before the clock starts, so that the time
+is that of the forwarding alone, without that of the sender. Every packet of a
+batch has to arrive.
 """
 
 import asyncio
@@ -38,8 +39,8 @@
 SERVICE_PORT = 443
 SERVICE_VERSION = 10
 BATCH_PACKETS = 100
-MAX_TURNS = 3
-STEPS_A_TURN = 10_000
+MAX_LOOP_PASSES = 3
+STEPS_PER_LOOP_PASS = 10_000
 MAX_DATAGRAM_BYTES = 65535
 KEY = b"packets of a measure, 32 bytes.."
 PAYLOAD = b"payload!" * 8
@@ -56,14 +57,14 @@
 
 
 class BareRelay(DatagramProtocol):
-    """Sends each datagram on to one place: the least that Twisted can do."""
+    """Forwards each datagram to one address: the least work possible in Twisted."""
 
-    def __init__(self, place: tuple[str, int]):
-        self._place = place
+    def __init__(self, endpoint: tuple[str, int]):
+        self._destination = endpoint
 
     def datagramReceived(self, datagram, addr):  # noqa: N802
-        """Send a datagram on."""
-        self.transport.write(datagram, self._place)
+        """Forward a datagram."""
+        self.transport.write(datagram, self._destination)
 
 
 def udp_packet(src: bytes, sport: int, dst: bytes, dport: int) -> bytes:
@@ -76,20 +77,20 @@
 
 
 def caller_packet(number: int) -> bytes:
-    """Return a packet to the service from the caller of this number."""
+    """Return a packet to the service from the caller with this number."""
     src = (10 << 24 | number >> 12).to_bytes(4, "big")
     dst = socket.inet_aton(SERVICE_ADDRESS)
     return udp_packet(src, 1024 + (number & 0xFFF), dst, SERVICE_PORT)
 
 
 def answer_to(packet: bytes) -> bytes:
-    """Return the packet that answers a caller's."""
+    """Return the packet that answers a caller's packet."""
     sport = int.from_bytes(packet[20:22], "big")
     return udp_packet(packet[16:20], SERVICE_PORT, packet[12:16], sport)
 
 
 def site_objects() -> list[Versioned]:
-    """Return the configuration: one UDP service with one target a domain."""
+    """Return the configuration: one UDP service with one target per domain."""
     service = Service("till", SERVICE_ADDRESS, SERVICE_PORT, Protocol.UDP, "long")
     bodies = [(Kind.PROFILE, Profile("long")), (Kind.SERVICE, service)]
     bodies += [(Kind.DOMAIN, Domain(name)) for name in DOMAINS]
@@ -104,7 +105,7 @@
 
 
 def entry_vms() -> tuple[Vm, ...]:
-    """Return nine entries over four failure domains, as users run them today."""
+    """Return nine entries in four failure domains, as in users' deployments."""
     return tuple(
         Vm(f"e{number}", DOMAINS[number % len(DOMAINS)], ENTRY.format(number))
         for number in range(1, ENTRIES + 1)
@@ -113,17 +114,17 @@
 
 @dataclass(frozen=True)
 class Lane:
-    """One path to time: where packets go in, and the sockets they come out of."""
+    """A path to time: the address that packets are sent to, and the output sockets."""
 
     name: str
-    entrance: tuple[str, int]
-    exits: tuple[socket.socket, ...]
+    input_endpoint: tuple[str, int]
+    output_sockets: tuple[socket.socket, ...]
 
 
 class Bench:
-    """A bare relay and entry e1 of nine, side by side on one reactor.
+    """A bare relay and entry e1 of nine, on one reactor.
 
-    The other entries are sockets that take what they are sent::
+    The other entries are sockets that only receive::
 
         with Bench() as bench:
             bench.hold(bench.flows_of_primary(1000))
@@ -141,9 +142,9 @@
             PACKET_PORT, BareRelay((TARGET_ADDRESS, TARGET_PORT)), RELAY_ADDRESS
         )
         self.engine = self._start_entry()
-        self._beats = 0
-        self._next_beat = 0.0
-        self._join()
+        self._heartbeat_sequence = 0
+        self._next_heartbeat_at = 0.0
+        self._deliver_heartbeats()
 
     def __enter__(self):
         return self
@@ -154,14 +155,14 @@
         readers = self._reactor.getReaders()
         closed = [each.stopListening() for each in readers if isinstance(each, Port)]
         while not all(each.called for each in closed):
-            self.turn()
+            self.run_loop_once()
         for each in self._sockets:
             each.close()
         self._loop.close()
         asyncio.set_event_loop(None)
 
-    def hold(self, packets: list[bytes]) -> None:
-        """Hold the flows of these packets as proven ones, in place of others."""
+    def insert_flows(self, packets: list[bytes]) -> None:
+        """Replace the flow table with the flows of these packets, as `proven` ones."""
         node = self.engine.node
         now = node.clock.seconds()
         table, targets = node.flows, sorted(node.store.targets)
@@ -175,35 +176,35 @@
             flow.holders = node.members.ring.holders(flow.bucket)
             flow.placed_at = now
             flow.proven = True
-            self._live_on(number)
+            self._keep_running(number)
 
     def flows_of_primary(self, number: int) -> list[bytes]:
-        """Return packets of flows whose primary the entry is."""
+        """Return packets of flows whose primary is the entry."""
         return self._flows(number, self._is_primary)
 
     def flows_of_others(self, number: int) -> list[bytes]:
-        """Return packets of flows of which the entry is no holder."""
-        return self._flows(number, self._is_stranger)
+        """Return packets of flows of which the entry is not a holder."""
+        return self._flows(number, self._is_not_holder)
 
     def time_batch(self, lane: Lane, packets: list[bytes]) -> float:
-        """Return the seconds in which a batch was carried from end to end."""
-        self._join()
-        self.turn()
-        self._empty()
+        """Return the seconds that it took to forward a batch."""
+        self._deliver_heartbeats()
+        self.run_loop_once()
+        self._drain_sockets()
         for packet in packets:
-            self._sender.sendto(packet, lane.entrance)
-        passed_s, arrived = 0.0, 0
-        for _ in range(MAX_TURNS):
+            self._sender.sendto(packet, lane.input_endpoint)
+        elapsed_s, arrived = 0.0, 0
+        for _ in range(MAX_LOOP_PASSES):
             started = time.perf_counter()
-            self.turn()
-            passed_s += time.perf_counter() - started
-            arrived += sum(_received(each) for each in lane.exits)
+            self.run_loop_once()
+            elapsed_s += time.perf_counter() - started
+            arrived += sum(_drain_socket(each) for each in lane.output_sockets)
             if arrived >= len(packets):
-                return passed_s
+                return elapsed_s
         raise RuntimeError(f"{lane.name}: {arrived} of {len(packets)} packets arrived")
 
-    def turn(self) -> None:
-        """Let the event loop do all that is due, once."""
+    def run_loop_once(self) -> None:
+        """Run one pass of the event loop."""
         self._loop.call_soon(self._loop.stop)
         self._loop.run_forever()
 
@@ -215,16 +216,16 @@
             for vm in entry_vms()
             if vm.name != "e1"
         ]
-        entrance = (ENTRY.format(1), PACKET_PORT)
+        input_endpoint = (ENTRY.format(1), PACKET_PORT)
         self.bare = Lane("bare relay", (RELAY_ADDRESS, PACKET_PORT), (target,))
-        self.home = Lane("home", entrance, (target,))
-        self.answers = Lane("answers", entrance, (fabric,))
-        self.relayed = Lane("relayed", entrance, tuple(peers))
+        self.home = Lane("home", input_endpoint, (target,))
+        self.answers = Lane("answers", input_endpoint, (fabric,))
+        self.relayed = Lane("relayed", input_endpoint, tuple(peers))
 
-    def _socket(self, place):
+    def _socket(self, endpoint):
         sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         sock.setblocking(False)
-        sock.bind(place)
+        sock.bind(endpoint)
         self._sockets.append(sock)
         return sock
 
@@ -240,40 +241,43 @@
         driver.start()
         return engine
 
-    def _join(self):
-        """Let the other entries' heartbeats arrive, once a second."""
+    def _deliver_heartbeats(self):
+        """Deliver heartbeats of the other entries, at the heartbeat interval."""
         node = self.engine.node
         now = node.clock.seconds()
-        if now < self._next_beat:
+        if now < self._next_heartbeat_at:
             return
-        self._next_beat = now + node.timers.heartbeat_s
-        self._beats += 1
+        self._next_heartbeat_at = now + node.timers.heartbeat_s
+        self._heartbeat_sequence += 1
         for vm in entry_vms()[1:]:
-            beat = Heartbeat(
+            heartbeat = Heartbeat(
                 vm.name,
                 vm.domain,
                 1,
-                self._beats,
+                self._heartbeat_sequence,
                 EntryState.LIVE,
                 node.store.digest,
                 vm.address,
                 ("e1",),
             )
-            self.engine.message(vm.name, beat)
+            self.engine.message(vm.name, heartbeat)
 
-    def _live_on(self, step):
-        """Run the entry now and then in long work, or it takes it for a pause."""
-        if step % STEPS_A_TURN == 0:
-            self._join()
-            self.turn()
+    def _keep_running(self, step):
+        """Run the event loop every `STEPS_PER_LOOP_PASS` steps of long work.
 
-    def _flows(self, number, wanted):
+        Otherwise the entry would take the time for a pause of its process.
+        """
+        if step % STEPS_PER_LOOP_PASS == 0:
+            self._deliver_heartbeats()
+            self.run_loop_once()
+
+    def _flows(self, number, matches_holders):
         packets, caller = [], 0
         while len(packets) < number:
             packet = caller_packet(caller)
             caller += 1
-            self._live_on(caller)
-            if wanted(self._holders(packet)):
+            self._keep_running(caller)
+            if matches_holders(self._holders(packet)):
                 packets.append(packet)
         return packets
 
@@ -284,16 +288,16 @@
     def _is_primary(self, holders):
         return holders[0] == "e1"
 
-    def _is_stranger(self, holders):
+    def _is_not_holder(self, holders):
         return "e1" not in holders
 
-    def _empty(self):
+    def _drain_sockets(self):
         for each in self._sockets:
-            _received(each)
+            _drain_socket(each)
 
 
-def _received(sock):
-    """Empty a socket; return how many of the bench's packets came out of it."""
+def _drain_socket(sock):
+    """Empty a socket; return how many of the benchmark's packets it held."""
     count = 0
     while True:
         try:
@@ -302,5 +306,5 @@
             return count
 
 
-def _no_channel(place):
-    raise RuntimeError(f"no channel to {place} in a measure")
+def _no_channel(endpoint):
+    raise RuntimeError(f"unexpected control channel to {endpoint} in a benchmark")
--- a/kumquatshift/measures/packets.py
+++ b/kumquatshift/measures/packets.py
@@ -1,7 +1,7 @@
-"""Measures of the packet path: packets per second, memory and cost per flow.
+"""Benchmarks of the packet path: packets per second, memory and cost per flow.
 
-Batches of the paths take turns with batches of a bare Twisted UDP relay, so
-that both meet the same load of the machine; figures are medians.
+Batches over each path of an entry alternate with batches over a bare Twisted UDP
+relay, so that other load on the machine affects both alike; results are medians.
 """
 
 import random
@@ -23,21 +23,21 @@
 SEED = 14
 FLOWS = 1000
 ROUNDS = 200
-HELD = (1_000, 30_000, 300_000)
-HELD_NAMES = ("1k", "30k", "300k")
+HELD_FLOWS = (1_000, 30_000, 300_000)
+HELD_FLOW_LABELS = ("1k", "30k", "300k")
 HELD_ROUNDS = 100
-GOAL_HOME = 0.5
-MAX_GROWTH = 1.25
+MIN_PPS_RATIO = 0.5
+MAX_COST_GROWTH = 1.25
 TRACED_FLOWS = 100_000
 PARSED_PACKETS = 20_000
 
 
 def measure_paths() -> tuple[Measure, ...]:
-    """Time the paths of an entry against a bare relay."""
+    """Time the paths through an entry against a bare relay."""
     with Bench() as bench:
         primary = bench.flows_of_primary(FLOWS)
         others = bench.flows_of_others(FLOWS)
-        bench.hold(primary)
+        bench.insert_flows(primary)
         lanes = {
             bench.bare: primary,
             bench.home: primary,
@@ -47,8 +47,8 @@
         times = time_lanes(bench, lanes, ROUNDS)
     bare, home, answers, relayed = times.values()
     return (
-        at_least("pps_ratio_home", median_ratio(bare, home), GOAL_HOME),
-        at_least("pps_ratio_home_answers", median_ratio(bare, answers), GOAL_HOME),
+        at_least("pps_ratio_home", median_ratio(bare, home), MIN_PPS_RATIO),
+        at_least("pps_ratio_home_answers", median_ratio(bare, answers), MIN_PPS_RATIO),
         reported("pps_ratio_relay", median_ratio(bare, relayed)),
         reported("pps_bare_relay", 1 / median(bare)),
         reported("pps_home", 1 / median(home)),
@@ -56,28 +56,30 @@
 
 
 def measure_growth() -> tuple[Measure, ...]:
-    """Time the home path as the entry holds more flows.
+    """Time the home path with flow tables of growing size.
 
-    A cost is taken in units of the bare relay's at the same time, since the
-    three sizes are timed one after another.
+    The cost of a packet is taken relative to the bare relay in the same rounds,
+    since the three sizes are timed one after another and the load of the machine
+    may change in between.
     """
     with Bench() as bench:
-        packets = bench.flows_of_primary(max(HELD))
-        found = [_home_cost(bench, packets[:held]) for held in HELD]
+        packets = bench.flows_of_primary(max(HELD_FLOWS))
+        found = [_home_cost(bench, packets[:held]) for held in HELD_FLOWS]
     costs = [cost for cost, _packet_s in found]
     each_us = [
         reported(f"packet_us_at_{name}_flows", 1e6 * packet_s)
-        for name, (_cost, packet_s) in zip(HELD_NAMES, found, strict=True)
+        for name, (_cost, packet_s) in zip(HELD_FLOW_LABELS, found, strict=True)
     ]
     growth = max(costs) / costs[0]
-    return (at_most("packet_cost_growth", growth, MAX_GROWTH), *each_us)
+    return (at_most("packet_cost_growth", growth, MAX_COST_GROWTH), *each_us)
 
 
 def measure_memory() -> tuple[Measure, ...]:
-    """Trace what the flow table allocates for 100,000 flows.
+    """Measure the memory that the flow table allocates for 100,000 flows.
 
-    A flow that was opened here shares its target's name with the configuration;
-    one that another entry sent came off the wire by itself.
+    The record of a flow opened by this entry shares the target name string with
+    the configuration; a record received from another entry has its own decoded
+    copy of it.
     """
     opened = _traced_bytes(_opened_record) / TRACED_FLOWS
     copied = _traced_bytes(_copied_record) / TRACED_FLOWS
@@ -88,7 +90,7 @@
 
 
 def measure_parsing() -> tuple[Measure, ...]:
-    """Time the fixed-offset reads, and dpkt's reading of the same fields."""
+    """Time parsing by fixed offsets, and dpkt parsing the same fields."""
     packets = [caller_packet(each) for each in range(PARSED_PACKETS)]
     fixed_s = _time_each(_read_offsets, packets)
     dpkt_s = _time_each(_read_dpkt, packets)
@@ -101,24 +103,27 @@
 def time_lanes(
     bench: Bench, lanes: dict[Lane, list[bytes]], rounds: int
 ) -> dict[Lane, list[float]]:
-    """Return for each lane its seconds a packet in every round, in turns."""
-    chance = random.Random(SEED)
+    """Return the seconds per packet of each lane in every round.
+
+    The lanes alternate within a round.
+    """
+    rng = random.Random(SEED)
     times: dict[Lane, list[float]] = {lane: [] for lane in lanes}
     for _ in range(rounds):
         for lane, packets in lanes.items():
-            batch = chance.choices(packets, k=BATCH_PACKETS)
+            batch = rng.choices(packets, k=BATCH_PACKETS)
             times[lane].append(bench.time_batch(lane, batch) / BATCH_PACKETS)
     return times
 
 
 def median_ratio(some: list[float], others: list[float]) -> float:
-    """Return the median of the rounds' ratios."""
+    """Return the median of the ratios of the rounds."""
     return median(one / other for one, other in zip(some, others, strict=True))
 
 
 def _home_cost(bench, packets):
-    """Return what a packet costs, in units of the bare relay and in seconds."""
-    bench.hold(packets)
+    """Return the cost of a packet, relative to the bare relay and in seconds."""
+    bench.insert_flows(packets)
     lanes = {bench.bare: packets, bench.home: packets}
     bare, home = time_lanes(bench, lanes, HELD_ROUNDS).values()
     return median_ratio(home, bare), median(home)
--- a/kumquatshift/measures/registry.py
+++ b/kumquatshift/measures/registry.py
@@ -1,7 +1,7 @@
-"""Which modules measure what.
+"""Registry of the measurement modules and of the results that each must return.
 
-A module of one of the packages takes part by a tuple of functions called
-``MEASURES``; each function returns its figures::
+A module of one of the packages in `PACKAGES` lists its functions in a tuple named
+``MEASURES``; each function returns its results::
 
     def measure_wrong_answers() -> tuple[Measure, ...]:
         return (exactly("wrong_answers", run().wrong, 0),)
@@ -21,13 +21,14 @@
 
 @dataclass(frozen=True)
 class Group:
-    """One module, and the names of the figures that it owes."""
+    """A module, and the names of the results that it must return."""
 
     module: str
     names: tuple[str, ...]
 
 
-#: Measures that need the tests' fakes live beside them, in the repository only.
+#: Measurements that need the fakes of the tests are in tests.measures, which is in
+#: the repository but not in the installed package.
 PACKAGES = (__package__, "tests.measures")
 
 GROUPS = (
@@ -67,15 +68,15 @@
 
 
 def functions_of(group: Group) -> tuple[MeasureFunction, ...]:
-    """Return the functions of a group's module; none if there is no such module."""
+    """Return the functions of a group's module, or () if the module is missing."""
     for package in PACKAGES:
         name = f"{package}.{group.module}"
-        if _is_there(name):
+        if _module_exists(name):
             return tuple(import_module(name).MEASURES)
     return ()
 
 
-def _is_there(name):
+def _module_exists(name):
     try:
         return find_spec(name) is not None
     except ModuleNotFoundError:
--- a/kumquatshift/measures/request_schedules.py
+++ b/kumquatshift/measures/request_schedules.py
@@ -1,4 +1,4 @@
-"""Schedules of requests and faults against a request site, and what must hold."""
+"""Random schedules of requests and faults on a simulated site, and the invariants."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -14,9 +14,9 @@
 NODES = ENTRIES + TARGETS
 FAULTS = ("kill sender", "kill receiver", "lose", "copy", "delay")
 
-#: What may befall a packet, and where. The network may copy packets anywhere
-#: but on the way from an entry to a target: a copy there may meet a target
-#: that restarted in between, and nothing of ours stands between the two.
+#: The faults of packets at each hop. The network may duplicate packets anywhere
+#: except from an entry to a target: the duplicate could arrive after a restart of
+#: the target, which then runs the request again, and no entry could prevent that.
 HOP_FAULTS = tuple(
     (hop, fault)
     for hop in HOPS
@@ -27,24 +27,25 @@
 TOKENS = (b"\x01", b"\x02", b"\x03")
 PAUSES_S = (0.0, 0.1, 0.4, 1.2, 2.5, 8.0)
 
-#: Shares of packets that are lost, of those late, and of those copied, each.
+#: Probability of each of the faults "lose", "delay" and "copy", drawn in this order
+#: for each packet until one occurs.
 ROUGHNESS = (0.0, 0.05, 0.2)
 
-#: Requests that come at once in a burst: more than the targets can take.
+#: Requests that are sent at once in a burst: more than the targets can take.
 BURST = 18
 
 ROUNDS_MIN = 2
 ROUNDS_MAX = 6
 FAULTS_PER_ROUND_MAX = 4
-SETTLE_S = 12.0
-HEALED_S = 10.0
+FAULTY_SETTLE_S = 12.0
+HEALED_SETTLE_S = 10.0
 
 
 @dataclass(frozen=True)
 class Event:
-    """Something that befalls the site after a pause in seconds.
+    """A fault or a recovery on the site, after a pause in seconds.
 
-    ``call`` names a method of `Site`, which takes ``args``.
+    ``call`` is the name of a method of `Site`, which is called with ``args``.
     """
 
     pause_s: float
@@ -54,7 +55,7 @@
 
 @dataclass(frozen=True)
 class Round:
-    """A request, or a burst of them when ``code`` is None, and then faults."""
+    """A request, or a burst of requests if ``code`` is None, followed by events."""
 
     code: Code | None
     token: bytes = b""
@@ -63,20 +64,26 @@
 
 @dataclass(frozen=True)
 class Schedule:
-    """What is played on one site.
+    """Requests and events that are run on one site.
 
-    With ``separate`` targets acknowledge first and answer later.
+    If ``separate`` is set, targets send separate responses: an empty ACK at once
+    and the response later.
     """
 
     rounds: tuple[Round, ...]
     seed: int
     separate: bool = False
-    roughness: float = 0.0
+    fault_rate: float = 0.0
 
 
 @dataclass
 class Findings:
-    """Broken promises, and how often what was told."""
+    """Violated invariants, and the counts of outcomes.
+
+    The invariants: a non-idempotent request runs at most once
+    (``duplicate_runs``); a request refused as "not run" never ran
+    (``false_not_run``); an answer belongs to its request (``wrong_answers``).
+    """
 
     duplicate_runs: list[str] = field(default_factory=list)
     false_not_run: list[str] = field(default_factory=list)
@@ -87,11 +94,11 @@
 
     @property
     def broken(self) -> list:
-        """All broken promises."""
+        """All violations."""
         return self.duplicate_runs + self.false_not_run + self.wrong_answers
 
     def add(self, site: Site):
-        """Count what a site shows at its end."""
+        """Add the results of a site whose schedule has ended."""
         caller = site.caller
         for name in sorted(caller.once):
             if len(site.runs_of(name)) > 1:
@@ -99,7 +106,7 @@
         for name, text in caller.told.items():
             if text.startswith("not run") and site.runs_of(name):
                 self.false_not_run.append(name)
-        self.wrong_answers += caller.wrong
+        self.wrong_answers += caller.mismatched_answers
         self.sent += len(caller.sent_at)
         self.answered += sum(text.startswith("ran") for text in caller.told.values())
         for entry in site.entries:
@@ -107,63 +114,63 @@
 
 
 def play(schedule: Schedule, make_policy: Callable[[Entry], object] = core_policy):
-    """Run one schedule to its end; return the site."""
+    """Run one schedule to its end, and return the site."""
     site = Site(schedule.seed, make_policy)
     for target in site.targets.values():
         target.separate = schedule.separate
     site.run(1.0)
-    site.roughness = schedule.roughness
+    site.fault_rate = schedule.fault_rate
     mids = count(100)
-    for each in schedule.rounds:
-        _send(site, each, mids)
-        for event in each.events:
+    for round_ in schedule.rounds:
+        _send(site, round_, mids)
+        for event in round_.events:
             site.run(event.pause_s)
             getattr(site, event.call)(*event.args)
-    site.run(SETTLE_S)
+    site.run(FAULTY_SETTLE_S)
     site.heal()
-    site.run(HEALED_S)
+    site.run(HEALED_SETTLE_S)
     return site
 
 
-def random_schedule(chance) -> Schedule:
-    """Draw a schedule; `random.Random` fits."""
+def random_schedule(rng) -> Schedule:
+    """Draw a schedule with a generator such as `random.Random`."""
     rounds = tuple(
-        _random_round(chance) for _ in range(chance.randint(ROUNDS_MIN, ROUNDS_MAX))
+        _random_round(rng) for _ in range(rng.randint(ROUNDS_MIN, ROUNDS_MAX))
     )
     return Schedule(
         rounds,
-        chance.randrange(1 << 16),
-        chance.random() < 0.5,
-        chance.choice(ROUGHNESS),
+        rng.randrange(1 << 16),
+        rng.random() < 0.5,
+        rng.choice(ROUGHNESS),
     )
 
 
-def _random_round(chance):
-    number = chance.randint(0, FAULTS_PER_ROUND_MAX)
-    events = tuple(_random_event(chance) for _ in range(number))
-    if chance.random() < 0.5:
+def _random_round(rng):
+    number = rng.randint(0, FAULTS_PER_ROUND_MAX)
+    events = tuple(_random_event(rng) for _ in range(number))
+    if rng.random() < 0.5:
         return Round(None, events=events)
-    return Round(chance.choice(CODES), chance.choice(TOKENS), events)
+    return Round(rng.choice(CODES), rng.choice(TOKENS), events)
 
 
-def _random_event(chance):
-    call = chance.choice(
+def _random_event(rng):
+    call = rng.choice(
         ("restart", "kill", "start", "cut", "heal", "restart_targets", "fault")
     )
     args = ()
     if call in ("restart", "kill", "start"):
-        args = (chance.choice(NODES),)
+        args = (rng.choice(NODES),)
     elif call == "cut":
-        args = (chance.choice(ENTRIES), chance.choice(NODES))
+        args = (rng.choice(ENTRIES), rng.choice(NODES))
     elif call == "fault":
-        args = chance.choice(HOP_FAULTS)
-    return Event(chance.choice(PAUSES_S), call, args)
+        args = rng.choice(HOP_FAULTS)
+    return Event(rng.choice(PAUSES_S), call, args)
 
 
-def _send(site, each, mids):
-    if each.code is not None:
+def _send(site, round_, mids):
+    if round_.code is not None:
         mid = next(mids)
-        site.caller.send(f"r{mid}", each.code, mid, each.token)
+        site.caller.send(f"r{mid}", round_.code, mid, round_.token)
         return
     for _ in range(BURST):
         mid = next(mids)
--- a/kumquatshift/measures/request_site.py
+++ b/kumquatshift/measures/request_site.py
@@ -1,7 +1,8 @@
-"""A small site on a paused clock: one caller, entries, targets, and faults.
+"""Simulated site on a manual clock, for requests: a caller, entries and targets.
 
-Packets are method calls that the clock makes later. Each one crosses a named
-hop, at which a test may lose it, copy it, or kill who sends or receives it.
+Packets are method calls that the clock makes after a delay. Each one passes a named
+hop, at which a test may inject a fault: lose, duplicate or delay the packet, or
+kill its sender or receiver.
 """
 
 import random
@@ -25,16 +26,16 @@
 HOP_S = 0.002
 SUSPECT_S = 1.0
 HOLDERS = 3
-WITNESSES = 2
+QUORUM = 2
 SLOTS = 1
-RETRANSMIT_S = (2.0, 4.0)
+RETRANSMIT_DELAYS_S = (2.0, 4.0)
 
-#: Longer than a packet of one request may be about: an entry that has run for
-#: so long has seen all that it holds.
+#: Longer than the packets of one request can be in the network: an entry that has
+#: run for this long has seen every open request that it holds.
 QUIET_TIME_S = 7.0
-LATE_S = 2.0
+MAX_EXTRA_DELAY_S = 2.0
 
-GIVE_UP_S = 5.5
+EXCHANGE_LIFETIME_S = 5.5
 HOPS = (
     "caller to entry",
     "entry to primary",
@@ -48,7 +49,7 @@
 
 
 def core_policy(entry):
-    """Make the request policy of one entry."""
+    """Create the real request policy of one entry."""
     targets = [
         Target(name, SERVICE, "north", "127.0.2." + name[1:], 6080, SLOTS)
         for name in entry.site.targets
@@ -59,83 +60,89 @@
 
 
 class Entry:
-    """An entry, which is also its own `Standing`."""
+    """An entry, which is also the `Standing` of its policy."""
 
     def __init__(self, site, name, make_policy):
         self.site, self.name, self.make_policy = site, name, make_policy
         self.alive = False
-        self.heard = {}
+        self.heard_at = {}
         self.start(-QUIET_TIME_S)
 
     def start(self, since):
-        """Run from now on, with nothing remembered."""
+        """Start with empty state, unless already running."""
         if not self.alive:
             self.alive, self.since, self.incarnation = True, since, object()
             self.policy = self.make_policy(self)
 
-    def sees(self, other):
-        """Tell whether another entry was heard of lately."""
+    def is_reachable(self, other):
+        """Return whether another entry sent a heartbeat within `SUSPECT_S`."""
         if other is self:
             return True
-        heard = self.heard.get(other.name, -SUSPECT_S)
-        return self.site.now() - heard < SUSPECT_S
+        heard_at = self.heard_at.get(other.name, -SUSPECT_S)
+        return self.site.now() - heard_at < SUSPECT_S
 
     def is_quiet_time_over(self):
-        """Tell whether this entry has run long enough to know its flows."""
+        """Return whether this entry has run for `QUIET_TIME_S`."""
         return self.site.now() - self.since >= QUIET_TIME_S
 
     def primary(self):
-        """Return who decides, as this entry sees it."""
-        return next(entry for entry in self.site.entries if self.sees(entry))
+        """Return the primary: the first entry that is reachable from this one."""
+        return next(entry for entry in self.site.entries if self.is_reachable(entry))
 
     def holders(self):
-        """Return the other holders that this entry can count on."""
+        """Return the other holders that are reachable and past their quiet time."""
         return [
             entry
             for entry in self.site.entries[:HOLDERS]
-            if entry is not self and self.sees(entry) and entry.is_quiet_time_over()
+            if entry is not self
+            and self.is_reachable(entry)
+            and entry.is_quiet_time_over()
         ]
 
     def is_primary(self, flow):
-        """Tell whether this entry decides."""
+        """Return whether this entry is the primary."""
         return self.primary() is self
 
     def is_certain(self, flow):
-        """Tell whether two of the three holders know all, and will be asked."""
+        """Return whether this entry and others form a quorum of the three holders.
+
+        This entry has to be a holder, and the members of the quorum have to be
+        reachable and past their quiet time.
+        """
         inside = self in self.site.entries[:HOLDERS]
         witnesses = len(self.holders()) + self.is_quiet_time_over()
-        return inside and witnesses >= WITNESSES
+        return inside and witnesses >= QUORUM
 
     def tick(self):
-        """Let the policy's time pass."""
-        self.carry_out(self.policy.tick(self.site.now()))
+        """Run the timers of the policy."""
+        self.execute(self.policy.tick(self.site.now()))
 
     def from_caller(self, data):
-        """Take a packet of the caller from the fabric."""
+        """Receive a packet of the caller from the fabric."""
         if self.is_primary(FLOW):
             return self.decide(data)
         primary = self.primary()
-        self.site.cross("entry to primary", self, primary, primary.decide, data)
+        self.site.send_over_hop("entry to primary", self, primary, primary.decide, data)
 
     def decide(self, data):
-        """Decide a packet of the caller."""
+        """Handle a packet of the caller as its primary."""
         decisions = self.policy.request(SERVICE, FLOW, data, self.site.now())
-        self.carry_out(decisions)
+        self.execute(decisions)
 
     def from_target(self, data):
-        """Take a packet of a target from the fabric."""
+        """Receive a packet of a target from the fabric."""
         if self.is_primary(FLOW):
             return self.decide_answer(data)
         primary = self.primary()
         hop = "entry back to primary"
-        self.site.cross(hop, self, primary, primary.decide_answer, data)
+        self.site.send_over_hop(hop, self, primary, primary.decide_answer, data)
 
     def decide_answer(self, data):
-        """Decide a packet of a target."""
-        self.carry_out(self.policy.response(FLOW, data, self.site.now()))
+        """Handle a packet of a target as the primary."""
+        self.execute(self.policy.response(FLOW, data, self.site.now()))
 
-    def carry_out(self, decisions):
-        """Do what the policy decided."""
+    def execute(self, decisions):
+        """Execute the decisions of the policy."""
         for decision in decisions:
             if isinstance(decision, Return):
                 self.to_caller(decision.data)
@@ -154,40 +161,42 @@
                     False,
                     note.detail,
                 )
-                self.along(self.holders(), record, decision.data, first=True)
+                self.forward_through(self.holders(), record, decision.data, first=True)
             elif isinstance(decision, Refuse):
                 self.to_caller(decision.data)
 
-    def along(self, path, record, data, first=False):
-        """Take a record past the other holders, and then its packet to its end."""
+    def forward_through(self, path, record, data, first=False):
+        """Replicate a record along the other holders, then deliver its packet."""
         if path:
             hop = "primary to standby" if first else "standby to standby"
             rest = path[1:]
-            self.site.cross(hop, self, path[0], path[0].hold, rest, record, data)
+            self.site.send_over_hop(
+                hop, self, path[0], path[0].adopt_record, rest, record, data
+            )
         elif record.target:
             self.to_target(record.target, data)
         else:
             self.to_caller(data)
 
-    def hold(self, rest, record, data):
-        """Hold a record, and pass its packet on unless it must stop here."""
+    def adopt_record(self, rest, record, data):
+        """Store a record; pass it on if it was adopted and the quiet time is over."""
         adopted = self.policy.adopt(SERVICE, record, self.site.now())
         if adopted and self.is_quiet_time_over():
-            self.along(rest, record, data)
+            self.forward_through(rest, record, data)
 
     def to_caller(self, data):
         """Send a packet to the caller."""
         caller = self.site.caller
-        self.site.cross("primary to caller", self, caller, caller.receive, data)
+        self.site.send_over_hop("primary to caller", self, caller, caller.receive, data)
 
     def to_target(self, name, data):
         """Send a packet to a target."""
         target = self.site.targets[name]
-        self.site.cross("standby to target", self, target, target.receive, data)
+        self.site.send_over_hop("standby to target", self, target, target.receive, data)
 
 
 class FakeTarget:
-    """A CoAP server that drops copies by message id until it restarts."""
+    """A CoAP server that detects duplicates by message ID until it restarts."""
 
     def __init__(self, site, name, service_s=0.5, separate=False):
         self.site, self.name = site, name
@@ -197,12 +206,12 @@
         self.start(0.0)
 
     def start(self, since):
-        """Run from now on, with nothing remembered."""
+        """Start with empty state, unless already running."""
         if not self.alive:
             self.alive, self.busy, self.seen, self.incarnation = True, 0, {}, object()
 
     def receive(self, data):
-        """Take a packet; run its request if it is new and there is a slot."""
+        """Receive a packet; run its request if it is new and a slot is free."""
         msg = read(data)
         if msg.code == Code.EMPTY:
             return
@@ -222,7 +231,7 @@
         self.site.clock.callLater(self.service_s, self.finish, data, self.incarnation)
 
     def finish(self, data, incarnation):
-        """Answer a request, unless the target restarted in between."""
+        """Answer a request, unless the target stopped or restarted meanwhile."""
         if not self.alive or incarnation is not self.incarnation:
             return
         self.busy -= 1
@@ -235,13 +244,17 @@
         self.answer(answer)
 
     def answer(self, data):
-        """Send an answer to some entry."""
-        entry = self.site.some_entry()
-        self.site.cross("target to entry", self, entry, entry.from_target, data)
+        """Send an answer to the entry that the fabric picks."""
+        entry = self.site.pick_entry()
+        self.site.send_over_hop("target to entry", self, entry, entry.from_target, data)
 
 
 class Caller:
-    """Sends requests with retransmissions, and keeps what it was told."""
+    """Sends requests with retransmissions, and records the outcomes.
+
+    `told` maps the names of requests to the payloads of their answers; `once` has the
+    names of non-idempotent requests.
+    """
 
     name = "caller"
     alive = True
@@ -251,12 +264,12 @@
         self.site = site
         self.open = {}
         self.told = {}
-        self.wrong = []
-        self.sent_at, self.mids, self.heard_mids = {}, {}, set()
+        self.mismatched_answers = []
+        self.sent_at, self.mids, self.received_mids = {}, {}, set()
         self.once = set()
 
     def send(self, name, code, mid, token, **options):
-        """Send a request; a token is used again once its last use is over."""
+        """Send a request, unless its token is in use by an earlier one."""
         if self.is_busy(token):
             return
         self.sent_at[name], self.mids[name] = self.site.now(), mid
@@ -265,35 +278,35 @@
         if code in (Code.POST, Code.PATCH):
             self.once.add(name)
         self.transmit(data)
-        for delay_s in RETRANSMIT_S:
-            self.site.clock.callLater(delay_s, self.again, name, token, data)
+        for delay_s in RETRANSMIT_DELAYS_S:
+            self.site.clock.callLater(delay_s, self.retransmit, name, token, data)
 
     def is_busy(self, token):
-        """Tell whether the last request with a token may still be answered."""
+        """Return whether the last request with a token may still be answered."""
         name = self.open.get(token)
         if name is None or name in self.told:
             return False
-        return self.site.now() - self.sent_at[name] < GIVE_UP_S
+        return self.site.now() - self.sent_at[name] < EXCHANGE_LIFETIME_S
 
-    def again(self, name, token, data):
-        """Send a request again, unless its end was told."""
+    def retransmit(self, name, token, data):
+        """Retransmit a request, unless it was answered or its token was reused."""
         if self.open.get(token) == name and name not in self.told:
             self.transmit(data)
 
     def transmit(self, data):
-        """Send a packet to some entry."""
-        entry = self.site.some_entry()
-        self.site.cross("caller to entry", self, entry, entry.from_caller, data)
+        """Send a packet to the entry that the fabric picks."""
+        entry = self.site.pick_entry()
+        self.site.send_over_hop("caller to entry", self, entry, entry.from_caller, data)
 
     def receive(self, data):
-        """Match an answer as RFC 7252 says, and keep what it tells."""
+        """Match an answer to its request as RFC 7252 says, and record the outcome."""
         msg = read(data)
         if msg.mtype == Type.CON:
             self.transmit(signal(Type.ACK, msg.mid))
         if msg.mtype in (Type.CON, Type.NON):
-            if msg.mid in self.heard_mids:
+            if msg.mid in self.received_mids:
                 return
-            self.heard_mids.add(msg.mid)
+            self.received_mids.add(msg.mid)
         if msg.code == Code.EMPTY or msg.token not in self.open:
             return
         name = self.open[msg.token]
@@ -301,12 +314,15 @@
             return
         text = msg.payload.decode()
         if text.startswith("ran ") and text != f"ran {name}":
-            self.wrong.append((name, text))
+            self.mismatched_answers.append((name, text))
         self.told.setdefault(name, text)
 
 
 class Site:
-    """The nodes, the links between them, and what befalls them."""
+    """The nodes, the links between them, and their faults.
+
+    ``ingress`` is the entry that the fabric prefers, or None for a random one.
+    """
 
     def __init__(self, seed=1, make_policy=core_policy, entries=4, targets=3):
         self.clock, self.rng = Clock(), random.Random(seed)
@@ -319,8 +335,8 @@
             self.entries.append(Entry(self, f"e{i}", make_policy))
         self.caller = Caller(self)
         self.ingress = None
-        self.roughness = 0.0
-        self.beat()
+        self.fault_rate = 0.0
+        self.exchange_heartbeats()
 
     def now(self):
         """Return the time in seconds."""
@@ -332,7 +348,7 @@
         return (nodes | self.targets)[name]
 
     def kill(self, name):
-        """Stop a node at once."""
+        """Stop a node abruptly."""
         self.node(name).alive = False
 
     def start(self, name):
@@ -340,7 +356,7 @@
         self.node(name).start(self.now())
 
     def restart(self, name):
-        """Stop and start a node; it forgets everything."""
+        """Stop and start a node; it loses its state."""
         self.kill(name)
         self.start(name)
 
@@ -350,30 +366,30 @@
             self.restart(name)
 
     def fault(self, hop, fault):
-        """Let the next packet at a hop meet a fault."""
+        """Inject a fault into the next packet at a hop."""
         self.faults[hop] = fault
 
     def cut(self, one, other):
-        """Cut two nodes off from each other."""
+        """Partition two nodes from each other."""
         self.cuts |= {(one, other), (other, one)}
 
     def heal(self):
-        """End all cuts."""
+        """Remove all partitions."""
         self.cuts.clear()
 
-    def some_entry(self):
-        """Return an entry that the fabric may choose."""
+    def pick_entry(self):
+        """Return the entry that the fabric picks: the ingress, or a random live one."""
         if self.ingress and self.node(self.ingress).alive:
             return self.node(self.ingress)
         alive = [entry for entry in self.entries if entry.alive]
         return self.rng.choice(alive or self.entries)
 
-    def cross(self, hop, sender, receiver, call, *args):
-        """Take a packet over one hop, through its faults."""
+    def send_over_hop(self, hop, sender, receiver, call, *args):
+        """Send a packet over one hop, with the injected or a random fault."""
         if not sender.alive or (sender.name, receiver.name) in self.cuts:
             return
         delays = [HOP_S * (1 + self.rng.random())]
-        fault = self.faults.pop(hop, None) or self.some_fault(hop)
+        fault = self.faults.pop(hop, None) or self.draw_fault(hop)
         if fault == "kill sender":
             sender.alive = False
         elif fault == "kill receiver":
@@ -381,43 +397,43 @@
         elif fault == "lose":
             return
         elif fault == "copy":
-            delays.append(delays[0] + self.rng.random() * LATE_S)
+            delays.append(delays[0] + self.rng.random() * MAX_EXTRA_DELAY_S)
         elif fault == "delay":
-            delays[0] += self.rng.random() * LATE_S
+            delays[0] += self.rng.random() * MAX_EXTRA_DELAY_S
         for delay in delays:
-            self.clock.callLater(delay, self.arrive, receiver, call, args)
+            self.clock.callLater(delay, self.deliver, receiver, call, args)
 
-    def some_fault(self, hop):
-        """Draw a fault for a packet."""
-        if hop == "standby to target" or not self.roughness:
+    def draw_fault(self, hop):
+        """Draw a random fault for a packet, or None."""
+        if hop == "standby to target" or not self.fault_rate:
             return None
         for fault in ("lose", "delay", "copy"):
-            if self.rng.random() < self.roughness:
+            if self.rng.random() < self.fault_rate:
                 return fault
         return None
 
-    def arrive(self, receiver, call, args):
-        """Hand a packet to its receiver."""
+    def deliver(self, receiver, call, args):
+        """Deliver a packet, unless the receiver is down."""
         if receiver.alive:
             call(*args)
 
-    def beat(self):
-        """Exchange heartbeats, and let every entry tick."""
+    def exchange_heartbeats(self):
+        """Exchange heartbeats between connected live entries, and run their timers."""
         for entry in self.entries:
             for other in self.entries:
                 cut = (entry.name, other.name) in self.cuts
                 if entry.alive and other.alive and not cut:
-                    entry.heard[other.name] = self.now()
+                    entry.heard_at[other.name] = self.now()
         for entry in self.entries:
             if entry.alive:
                 entry.tick()
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the clock in steps of `STEP_S`."""
         for _ in range(round(seconds / STEP_S)):
             self.clock.pump([STEP_S / 10] * 10)
-            self.beat()
+            self.exchange_heartbeats()
 
     def runs_of(self, name):
-        """Return the targets whose application ran a request."""
+        """Return the targets that ran a request, one for each run."""
         return [target for ran, target in self.runs if ran == name]
--- a/kumquatshift/measures/requests.py
+++ b/kumquatshift/measures/requests.py
@@ -1,4 +1,4 @@
-"""Measures of the request policy: what runs twice, what is untrue, who waits."""
+"""Simulations of the request policy: its guarantees, load sharing and priorities."""
 
 import random
 from statistics import fmean
@@ -18,7 +18,7 @@
 SCHEDULES = 120
 NAIVE_SCHEDULES = 20
 
-#: The scheme that entries follow; see docs/DESIGN-REQUESTS.md.
+#: The scheme that entries use; see docs/DESIGN-REQUESTS.md.
 SCHEME = next(scheme for scheme in SCHEMES if scheme.name == "primary per service")
 
 LOSS_SEEDS = 3
@@ -48,7 +48,7 @@
 
 
 def measure_promises() -> tuple[Measure, ...]:
-    """Play random schedules of faults; count broken promises."""
+    """Run random schedules of faults, and count violated invariants."""
     found, naive = _play(SCHEDULES), _play(NAIVE_SCHEDULES, make_policy=naive_policy)
     unknown = sum(
         count for (kind, _), count in found.refused.items() if kind == "outcome-unknown"
@@ -64,7 +64,7 @@
 
 
 def measure_entry_loss() -> tuple[Measure, ...]:
-    """Stop an entry while requests that may not run twice come steadily."""
+    """Stop or restart an entry under a steady load of non-idempotent requests."""
     return (
         reported("answered_share_primary_killed", _share_answered("kill", "e0")),
         reported("answered_share_primary_restarted", _share_answered("restart", "e0")),
@@ -73,7 +73,7 @@
 
 
 def measure_cold_targets() -> tuple[Measure, ...]:
-    """Admit a cold target, and let a warm one turn cold without a sign."""
+    """Start with a cold target; in another run, let a warm one turn cold unreported."""
     start = allowances.with_cold_start(SCHEME).targets["h0"]
     turn = allowances.with_silent_turn(SCHEME).targets["h1"]
     naive = allowances.with_cold_start(SCHEMES[0]).targets["h0"]
@@ -87,7 +87,7 @@
 
 
 def measure_steady_load() -> tuple[Measure, ...]:
-    """Run at 70% and at 95% of the capacity."""
+    """Offer 70% and 95% of the capacity."""
     steady = allowances.offered(SCHEME, 0.7)
     full = allowances.offered(SCHEME, 0.95)
     return (
@@ -97,7 +97,7 @@
 
 
 def measure_priorities() -> tuple[Measure, ...]:
-    """Run urgent requests alone, and next to bulk at twice the capacity."""
+    """Run urgent requests alone, and together with bulk at twice the capacity."""
     alone, beside = alerts(SCHEME, 0.0), alerts(SCHEME, REPORT_SHARE)
     urgent, bulk = beside.tallies[ALERT], beside.tallies[REPORT]
     ratio = urgent.p99_s() / alone.tallies[ALERT].p99_s()
@@ -120,16 +120,16 @@
 
 
 def gap(scheme: Scheme, seed: int = SEED) -> Model:
-    """Lose all packets to targets for 2.5 s at 70% of the capacity."""
+    """Offer 70% of the capacity, and lose all packets to targets for 2.5 s."""
     model = allowances.build(scheme, seed)
-    model.gap_s = (GAP_START_S, GAP_START_S + GAP_S)
+    model.loss_window_s = (GAP_START_S, GAP_START_S + GAP_S)
     model.offer(Load(SERVICE, NORMAL_SHARE * CAPACITY, 0.0, GAP_RUN_S))
     model.run(GAP_RUN_S)
     return model
 
 
 def share_after_gap(model: Model) -> float:
-    """Return the share answered well from `RECOVERY_S` after a gap on."""
+    """Return the share of successes from `RECOVERY_S` after the packet loss on."""
     return _share_since(model, GAP_START_S + GAP_S + RECOVERY_S)
 
 
@@ -139,9 +139,9 @@
     seed: int = SEED,
     profiles: dict[str, Profile] = ALERT_PROFILES,
 ) -> Model:
-    """Run urgent requests beside ``bulk`` times the capacity of bulk ones."""
+    """Run urgent requests together with bulk ones at ``bulk`` times the capacity."""
     model = Model(site_targets(HOSTS, (ALERT, REPORT)), profiles, seed)
-    model.weights = allowances.SPRAY
+    model.weights = allowances.ENTRY_WEIGHTS
     scheme.build(model)
     warm_up(model)
     model.offer(Load(ALERT, ALERT_SHARE * CAPACITY, 0.0, ALERT_RUN_S))
@@ -152,7 +152,7 @@
 
 
 def flood(scheme: Scheme, seed: int = SEED) -> Model:
-    """Run at three times the capacity, and then at 70% of it."""
+    """Offer three times the capacity, and then 70% of it."""
     model = allowances.build(scheme, seed)
     end_s = FLOOD_S + NORMAL_S
     model.offer(Load(SERVICE, FLOOD * CAPACITY, 0.0, FLOOD_S))
@@ -162,13 +162,13 @@
 
 
 def flood_goodput(model: Model) -> float:
-    """Return the good answers during a flood, as a share of the capacity."""
+    """Return the rate of successes during the overload, relative to the capacity."""
     good = [at for at, is_good in model.tallies[SERVICE].ends if is_good]
     return sum(at < FLOOD_S for at in good) / (CAPACITY * FLOOD_S)
 
 
 def share_after_flood(model: Model) -> float:
-    """Return the share answered well from `RECOVERY_S` after a flood on."""
+    """Return the share of successes from `RECOVERY_S` after the overload on."""
     return _share_since(model, FLOOD_S + RECOVERY_S)
 
 
@@ -195,10 +195,10 @@
 
 
 def _play(number, **options):
-    chance = random.Random(SEED)
+    rng = random.Random(SEED)
     findings = Findings()
     for _ in range(number):
-        findings.add(play(random_schedule(chance), **options))
+        findings.add(play(random_schedule(rng), **options))
     return findings
 
 
