--- a/deploy/entry.py
+++ b/deploy/entry.py
@@ -1,7 +1,8 @@
-"""Starts the entry on the users' platform; the settings' path is in the environment.
+"""Starts an entry on the users' platform; the environment names its settings file.
 
-A script, and not ``python -m``: the interpreter starts without site packages
-and without the module runner, which together cost more than the entry's imports.
+This is a script rather than ``python -m`` to shorten the start: the interpreter runs
+without site packages and the module runner, which together take longer than the
+imports of the entry.
 """
 
 import os
--- a/extras/capacity.py
+++ b/extras/capacity.py
@@ -1,7 +1,7 @@
-"""Measure the slopes that docs/CAPACITY.md is worked out from.
+"""Measure the costs per member, object and flow on which docs/CAPACITY.md is based.
 
-All runs are in-core: real engines, the real codec and digest, no sockets. Each
-table has one row a size; times are medians on the machine that runs it::
+All runs are in memory: real engines, the real codec and digest, no sockets. Each
+table has one row per size; times are medians on the machine that runs it::
 
     python extras/capacity.py            # all tables
     python extras/capacity.py beats      # one of them
@@ -64,7 +64,7 @@
 
 
 def entries(number: int) -> tuple[Vm, ...]:
-    """Return entries that are spread over the domains."""
+    """Return so many entries, spread over the domains."""
     return tuple(
         Vm(f"entry-{each:05d}", domain_name(each), f"10.0.{each >> 8}.{each & 255}")
         for each in range(number)
@@ -72,14 +72,14 @@
 
 
 def target(number: int, services: int) -> Target:
-    """Return a target of one of so many services."""
+    """Return the target with this number, of one of so many services."""
     host = f"11.{number >> 16}.{number >> 8 & 255}.{number & 255}"
     service = f"service-{number % services:05d}"
     return Target(f"host-{number:05d}", service, domain_name(number), host, 6080)
 
 
 def objects(number: int) -> list[Versioned]:
-    """Return about so many objects: five targets to a service, 15 domains."""
+    """Return about so many objects: 15 domains, and five targets per service."""
     services = max(1, number // (TARGETS_PER_SERVICE + 1))
     bodies = [(Kind.PROFILE, Profile("long-session"))]
     bodies += [(Kind.DOMAIN, Domain(domain_name(each))) for each in range(DOMAINS)]
@@ -94,7 +94,7 @@
 
 
 def changes(number: int, count: int) -> list[Versioned]:
-    """Return so many changes of targets, each of another one."""
+    """Return ``count`` changed targets, each of them once."""
     services = max(1, number // (TARGETS_PER_SERVICE + 1))
     return [
         Versioned(Kind.TARGET, body.name, 2, body, 1)
@@ -103,13 +103,13 @@
 
 
 def packet_of(caller: int) -> bytes:
-    """Return the packet of one caller to one of the first 16 services."""
+    """Return a packet from a caller to one of the first 16 services."""
     src = (10 << 24 | caller >> 12).to_bytes(4, "big")
     return udp_packet(src, 1024 + (caller & 4095), bytes([12, 0, 0, caller % 16]), 443)
 
 
 class Site:
-    """Engines under one paused clock; messages arrive at once."""
+    """Engines on one manual clock; messages are delivered without delay."""
 
     def __init__(self, number: int, configuration: list[Versioned]):
         self.clock = Clock()
@@ -127,40 +127,40 @@
         self.sent: list[tuple[str, SendPeer]] = []
 
     def run(self, seconds: int) -> None:
-        """Let time pass; keep what is sent in the last second."""
+        """Advance the clock, and deliver what the engines send."""
         for _ in range(4 * seconds):
             self.clock.advance(0.25)
             for name, engine in self.engines.items():
                 self.deliver(name, engine.tick())
 
     def deliver(self, sender: str, actions: list) -> None:
-        """Carry messages to their end."""
+        """Deliver messages, and the messages sent in reply, until none is left."""
         for action in actions:
             if isinstance(action, SendPeer):
-                back = self.engines[action.peer].message(sender, action.message)
-                self.deliver(action.peer, back)
+                replies = self.engines[action.peer].message(sender, action.message)
+                self.deliver(action.peer, replies)
 
 
-def wire(sender: str, message: object) -> bytes:
-    """Return a message as it goes out."""
+def sealed_datagram(sender: str, message: object) -> bytes:
+    """Return a message encoded and sealed, as it is sent."""
     return SEALER.seal(encode(sender, message))
 
 
-def heard(datagram: bytes, engine: EntryEngine) -> None:
-    """Take a datagram as an entry takes it."""
+def receive(datagram: bytes, engine: EntryEngine) -> None:
+    """Open and decode a datagram, and pass its message to an engine."""
     sender, message = decode(SEALER.open(datagram))
     engine.message(sender, message)
 
 
-def seconds_of(call: Callable[[], object]) -> float:
-    """Return how long a call takes."""
+def time_call(call: Callable[[], object]) -> float:
+    """Return the duration of a call in seconds."""
     started = time.perf_counter()
     call()
     return time.perf_counter() - started
 
 
-def traced(call: Callable[[], object]) -> tuple[object, int]:
-    """Return a call's result and the bytes that it left allocated."""
+def trace_allocation(call: Callable[[], object]) -> tuple[object, int]:
+    """Return the result of a call and the bytes that it left allocated."""
     tracemalloc.start()
     result = call()
     held, _peak = tracemalloc.get_traced_memory()
@@ -168,8 +168,10 @@
     return result, held
 
 
-def beat_of(engine: EntryEngine, names: tuple[str, ...], sequence: int) -> Heartbeat:
-    """Return the heartbeat that an entry sends when it hears all others."""
+def make_heartbeat(
+    engine: EntryEngine, names: tuple[str, ...], sequence: int
+) -> Heartbeat:
+    """Return the heartbeat of an entry that receives those of all others."""
     me, store = engine.node.me, engine.node.store
     others = tuple(name for name in names if name != me.name)
     return Heartbeat(
@@ -184,8 +186,8 @@
     )
 
 
-def beats(number: int) -> tuple[float, ...]:
-    """Cost of one second of heartbeats at one entry among so many members."""
+def heartbeats(number: int) -> tuple[float, ...]:
+    """Measure one second of heartbeats at one entry among so many members."""
     site = Site(number, objects(16))
     site.run(2)
     names = tuple(site.engines)
@@ -193,15 +195,19 @@
     out_s, in_s, tick_s = [], [], []
     for sequence in range(1000, 1000 + ROUNDS):
         site.clock.advance(0.25)
-        beat = beat_of(engine, names, sequence)
-        out = [wire(names[0], beat) for _ in names[1:]]
-        out_s.append(seconds_of(lambda b=beat: [wire(names[0], b) for _ in names[1:]]))
+        heartbeat = make_heartbeat(engine, names, sequence)
+        out = [sealed_datagram(names[0], heartbeat) for _ in names[1:]]
+        out_s.append(
+            time_call(
+                lambda b=heartbeat: [sealed_datagram(names[0], b) for _ in names[1:]]
+            )
+        )
         arriving = [
-            wire(name, beat_of(site.engines[name], names, sequence))
+            sealed_datagram(name, make_heartbeat(site.engines[name], names, sequence))
             for name in names[1:]
         ]
-        in_s.append(seconds_of(lambda a=arriving: [heard(each, engine) for each in a]))
-        tick_s.append(seconds_of(engine.tick))
+        in_s.append(time_call(lambda a=arriving: [receive(each, engine) for each in a]))
+        tick_s.append(time_call(engine.tick))
     cpu_s = median(out_s) + median(in_s) + 4 * median(tick_s)
     return (
         number,
@@ -215,16 +221,16 @@
 
 
 def store(number: int) -> tuple[float, ...]:
-    """Cost of the configuration, and of one change of it, at one entry."""
+    """Measure the configuration, and one change of it, at one entry."""
     all_objects = objects(number)
-    filled, held = traced(lambda: _filled(all_objects))
+    filled, held = trace_allocation(lambda: _filled(all_objects))
     merge_s, engine_s = [], []
-    news = changes(number, 2 * ROUNDS)
-    for change in news[:ROUNDS]:
-        merge_s.append(seconds_of(lambda c=change: filled.merge([c])))
+    updates = changes(number, 2 * ROUNDS)
+    for change in updates[:ROUNDS]:
+        merge_s.append(time_call(lambda c=change: filled.merge([c])))
     engine = next(iter(Site(1, all_objects).engines.values()))
-    for change in news[ROUNDS:]:
-        engine_s.append(seconds_of(lambda c=change: engine.objects([c])))
+    for change in updates[ROUNDS:]:
+        engine_s.append(time_call(lambda c=change: engine.objects([c])))
     size = sum(len(str(object_to_json(obj))) for obj in all_objects) / len(all_objects)
     behind = ConfigStore()
     behind.merge(all_objects)
@@ -249,32 +255,32 @@
 
 
 def flows(number: int) -> tuple[float, ...]:
-    """Cost of held flows: memory, a pass of the sweep, and copies of records."""
+    """Measure the flow table: memory, a pass of the sweep, and records on the wire."""
     site = Site(9, objects(100))
     site.run(2)
     engine = next(iter(site.engines.values()))
-    _none, held = traced(lambda: _hold(engine, number))
+    _none, held = trace_allocation(lambda: _insert_flows(engine, number))
     engine.node.ring_changed_at = float("-inf")
     steps = []
     for _ in range(2 * SETTLING_STEPS):
         site.clock.advance(0.25)
         now = site.clock.seconds()
-        steps.append(seconds_of(lambda n=now: engine._sweeper.step(n)))
+        steps.append(time_call(lambda n=now: engine._sweeper.step(n)))
     records = [flow.record for flow in list(engine.node.flows.flows.values())[:40]]
-    batch_bytes = len(wire("entry-00000", RecordBatch(tuple(records))))
-    quick_s, calm_s = median(steps[:4]), median(steps[SETTLING_STEPS:])
+    batch_bytes = len(sealed_datagram("entry-00000", RecordBatch(tuple(records))))
+    settling_s, settled_s = median(steps[:4]), median(steps[SETTLING_STEPS:])
     return (
         number,
         held / number,
-        1e3 * quick_s,
-        400 * quick_s,
-        1e3 * calm_s,
-        400 * calm_s,
+        1e3 * settling_s,
+        400 * settling_s,
+        1e3 * settled_s,
+        400 * settled_s,
         batch_bytes / len(records),
     )
 
 
-def _hold(engine, number):
+def _insert_flows(engine, number):
     node = engine.node
     now = node.clock.seconds()
     targets = sorted(node.store.targets)
@@ -288,7 +294,7 @@
 
 
 def openings(number: int) -> tuple[float, ...]:
-    """Cost of openings over all their hops: ingress, primary, two standbys."""
+    """Measure opening flows over all hops: ingress, primary and two standbys."""
     site = Site(9, objects(100))
     site.run(2)
     for engine in site.engines.values():
@@ -300,7 +306,7 @@
         for action in actions:
             if not isinstance(action, SendPeer):
                 continue
-            datagram = wire(name, action.message)
+            datagram = sealed_datagram(name, action.message)
             hops[0] += 1
             sent_bytes[0] += len(datagram)
             sender, message = decode(SEALER.open(datagram))
@@ -310,24 +316,26 @@
         for caller in range(number):
             carry(first, site.engines[first].packet(packet_of(caller)))
 
-    passed_s = seconds_of(open_all)
+    elapsed_s = time_call(open_all)
     relay = Relay(packet_of(1), 0, "", (), (first,))
-    sealed = wire(first, relay)
+    sealed = sealed_datagram(first, relay)
     return (
         number,
-        1e6 * passed_s / number,
+        1e6 * elapsed_s / number,
         hops[0] / number,
         sent_bytes[0] / number,
-        1e6 * seconds_of(lambda: [wire(first, relay) for _ in range(number)]) / number,
         1e6
-        * seconds_of(lambda: [decode(SEALER.open(sealed)) for _ in range(number)])
+        * time_call(lambda: [sealed_datagram(first, relay) for _ in range(number)])
+        / number,
+        1e6
+        * time_call(lambda: [decode(SEALER.open(sealed)) for _ in range(number)])
         / number,
     )
 
 
 TABLES = {
     "beats": (
-        beats,
+        heartbeats,
         MEMBERS,
         "members|bytes a beat|KB/s sent|ms/s send|ms/s take|ms a tick|% of a core",
     ),
@@ -350,14 +358,14 @@
 
 
 def rows(name: str) -> Iterator[tuple[float, ...]]:
-    """Measure one table, row by row."""
+    """Measure one table, and yield its rows."""
     measure, sizes, _headers = TABLES[name]
     for size in sizes:
         yield measure(size)
 
 
 def main(names: list[str]) -> None:
-    """Measure and print the tables of these names, or all."""
+    """Measure and print the tables with these names, or all tables."""
     for name in names or TABLES:
         headers = TABLES[name][2].split("|")
         print(f"\n{name}\n{tabulate(rows(name), headers, floatfmt='.4g')}", flush=True)
--- a/extras/demo/prepare.py
+++ b/extras/demo/prepare.py
@@ -1,7 +1,7 @@
-"""Make the settings file of every process of the demo.
+"""Generate the settings files of all processes of the demo.
 
-Reads ``site.ini`` and the templates beside it, and writes to the directory
-that is given, build/demo by default.
+Reads ``site.ini`` and the templates next to it, and writes to the given directory
+(default: build/demo).
 """
 
 import configparser
@@ -17,12 +17,12 @@
 
 
 def read_text(name, block):
-    """Return a file of the demo, its addresses moved to 127.``block``."""
+    """Return the text of a file of the demo, with its addresses in 127.``block``."""
     return (HERE / name).read_text().replace(f"127.{BLOCK}.", f"127.{block}.")
 
 
 def read_site(block=BLOCK):
-    """Return the sections of the site's description."""
+    """Return the sections of ``site.ini`` as dictionaries."""
     parser = configparser.ConfigParser(interpolation=None)
     parser.optionxform = str
     parser.read_string(read_text("site.ini", block))
@@ -30,12 +30,12 @@
 
 
 def lines(mapping):
-    """Return a mapping as the lines of an INI section."""
+    """Format a mapping as the lines of an INI section."""
     return "\n".join(f"{name} = {value}" for name, value in mapping.items())
 
 
 class Preparation:
-    """Fills the templates with the site, into one directory."""
+    """Fills in the templates for the site, and writes them to one directory."""
 
     def __init__(self, block, directory):
         self.site = site = read_site(block)
@@ -78,7 +78,7 @@
         )
 
     def write_platform(self):
-        """Write the platform's file; it lists all VMs."""
+        """Write the settings file of the platform, which lists all VMs."""
         rows = []
         for name, text in self.site["entries"].items():
             domain, address = text.split()
@@ -89,7 +89,7 @@
         self.write("platform", "platform", **self.site["platform"], vms="\n".join(rows))
 
     def write_entries(self):
-        """Write a file for each entry."""
+        """Write a settings file for each entry."""
         for name, text in self.site["entries"].items():
             domain, address = text.split()
             self.write(
@@ -105,7 +105,7 @@
             )
 
     def write_targets(self):
-        """Write a file for each target."""
+        """Write a settings file for each target."""
         for name, text in self.site["targets"].items():
             _, service, address = text.split()
             self.write(
@@ -120,10 +120,10 @@
 
 
 def main(args):
-    """Write all files to the directory that is given."""
+    """Write all files to the directory given as an argument."""
     directory = Path(args[0]) if args else DEFAULT_DIR
     Preparation(BLOCK, directory).write_all()
-    print(f"Settings are in {directory}.")
+    print(f"Wrote the settings files to {directory}.")
 
 
 if __name__ == "__main__":
--- a/extras/demo/run.py
+++ b/extras/demo/run.py
@@ -1,10 +1,10 @@
-"""The demo: a whole site on loopback, under load, while operators change it.
+"""The demo: a complete site on loopback, under load and configuration changes.
 
 Starts the platform, nine entries in four failure domains, the fabric, the
-targets of two services and the load tool, each as a process of its own. While
-the load runs it retires a target, takes a domain out and brings it back, kills
-an entry and starts it again. It prints the load tool's table, and its exit
-status is 0 only if the load tool saw nothing that must not happen.
+targets of three services and the load generator, each as its own process. Under
+load, it retires a target, takes a domain out of service and back in, and kills and
+restarts an entry. It prints the table of the load generator; the exit status is 0
+only if no process failed and the load generator found no violation.
 """
 
 import json
@@ -27,7 +27,7 @@
 READY_LIMIT_S = 30.0
 COMMAND_LIMIT_S = 15.0
 BENCH_LIMIT_S = 55.0
-WHOLE_LIMIT_S = 60.0
+DEMO_LIMIT_S = 60.0
 DOWN_TIME_S = 3.0
 WAIT = "--wait=10"
 RETIRED_TARGET = "t7"
@@ -36,7 +36,7 @@
 
 
 def fetch(url):
-    """Return the JSON document at ``url``, or None when there is none."""
+    """Return the JSON document at ``url``, or None if it cannot be read."""
     try:
         with urllib.request.urlopen(url, timeout=2) as response:
             return json.load(response)
@@ -45,7 +45,7 @@
 
 
 def is_ready(host, port=ADMIN_PORT):
-    """Tell whether the process at ``host`` says that it is ready."""
+    """Return whether the process at ``host`` reports that it is ready."""
     try:
         with urllib.request.urlopen(f"http://{host}:{port}/ready", timeout=2):
             return True
@@ -61,12 +61,12 @@
         self.runner = runner
         self.entry_command = entry
         self.ctl_command = ctl
-        self.began_s = time.monotonic()
-        self.meant_to_end = set()
+        self.started_s = time.monotonic()
+        self.expected_to_exit = set()
 
-    def say(self, text):
-        """Tell the reader what is being done, with the time since the start."""
-        print(f"{time.monotonic() - self.began_s:5.1f} s  {text}", flush=True)
+    def print_progress(self, text):
+        """Print what the demo is doing, with the time since its start."""
+        print(f"{time.monotonic() - self.started_s:5.1f} s  {text}", flush=True)
 
     def start(self, name, command, output=None):
         """Start one process with its settings file."""
@@ -78,8 +78,8 @@
         self.start(name, self.entry_command)
 
     def ctl(self, *args):
-        """Run `kumquat-ctl`; raise when it fails."""
-        self.say("kumquat-ctl " + " ".join(args))
+        """Run `kumquat-ctl`; raise RuntimeError if it fails."""
+        self.print_progress("kumquat-ctl " + " ".join(args))
         platform = self.site["platform"]
         url = f"http://{platform['address']}:{platform['port']}"
         command = [*self.ctl_command, "--platform", url, *args]
@@ -90,16 +90,16 @@
             raise RuntimeError(f"kumquat-ctl failed: {done.stdout}{done.stderr}")
 
     def start_site(self):
-        """Start all processes but the load, and wait until all are ready."""
+        """Start all processes except the load, and wait until they are ready."""
         standin = str(BINARIES / "kumquat-standin")
         platform = self.site["platform"]
-        self.say("start the platform")
+        self.print_progress("starting the platform")
         self.start("platform", [standin, "platform"])
         self.wait_for(
             lambda: is_ready(platform["address"], platform["port"]), "the platform"
         )
         self.ctl("apply", str(DIRECTORY / "objects.ini"))
-        self.say("start fabric, targets and entries")
+        self.print_progress("starting the fabric, the targets and the entries")
         self.start("fabric", [standin, "fabric"])
         for name in self.site["targets"]:
             self.start(name, [standin, "target"])
@@ -108,7 +108,11 @@
         self.wait_ready()
 
     def wait_ready(self):
-        """Wait until all targets and entries take traffic, and are configured."""
+        """Wait until all targets and entries are ready, and the entries configured.
+
+        Wait for the end of the quiet time of the entries too: before it they refuse
+        requests that they cannot tell from repeated ones.
+        """
         for name, text in self.site["targets"].items():
             host = text.split()[-1]
             self.wait_for(lambda host=host: is_ready(host), name)
@@ -118,17 +122,19 @@
         self.wait_for(self.is_quiet_time_over, "the quiet time to end")
 
     def wait_for(self, condition, what):
-        """Wait until ``condition()`` holds; raise if a process ends meanwhile."""
+        """Wait until ``condition()`` holds; raise if a process exits meanwhile."""
 
         def holds():
-            if self.died():
-                raise RuntimeError(f"{', '.join(self.died())} ended at the start")
+            if self.unexpected_exits():
+                raise RuntimeError(
+                    f"{', '.join(self.unexpected_exits())} exited during start-up"
+                )
             return condition()
 
         wait_for(holds, READY_LIMIT_S, what)
 
     def is_quiet_time_over(self):
-        """Tell whether every entry has run long enough to know what is new."""
+        """Return whether the quiet time of every entry is over."""
         hosts = [text.split()[-1] for text in self.site["entries"].values()]
         dumps = [fetch(f"http://{host}:{ADMIN_PORT}/dump") for host in hosts]
         return all(
@@ -136,12 +142,12 @@
         )
 
     def ready_entries(self):
-        """Return the names of the entries that the fabric finds ready."""
+        """Return the names of the entries that are ready according to the fabric."""
         dump = fetch(f"http://{self.site['fabric']['address']}:{ADMIN_PORT}/dump")
         return set(dump["ready"]) if dump else set()
 
     def is_configured(self):
-        """Tell whether every entry has every object in its present version."""
+        """Return whether every entry has the current version of every object."""
         platform = self.site["platform"]
         url = f"http://{platform['address']}:{platform['port']}/v1/objects"
         wanted = {
@@ -153,20 +159,20 @@
         return all(versions == wanted for versions in found)
 
     def run_load(self):
-        """Run the load, and change the site meanwhile; return the exit status."""
-        self.say("start the load")
+        """Run the load and the changes of the site; return the load's exit status."""
+        self.print_progress("starting the load")
         command = [str(BINARIES / "kumquat-bench"), f"--json={FIGURES}"]
-        self.meant_to_end.add("bench")
+        self.expected_to_exit.add("bench")
         self.start("bench", command, TABLE)
         for delay_s, change in self.changes():
             time.sleep(delay_s)
             change()
         status = self.runner.wait("bench", BENCH_LIMIT_S)
-        self.say(f"the load tool ended with {status}")
+        self.print_progress(f"the load generator exited with status {status}")
         return status
 
     def changes(self):
-        """Return the changes of the demo, each with the pause before it."""
+        """Return the changes of the demo, each with the delay in seconds before it."""
         return [
             (4, lambda: self.ctl("target", "retire", RETIRED_TARGET)),
             (3, lambda: self.ctl("domain", "out", DOMAIN_OUT, WAIT)),
@@ -176,30 +182,32 @@
         ]
 
     def kill(self, name):
-        """Kill one entry, by its id."""
-        self.say(f"kill {name}, process {self.runner.runs[name].pid}")
+        """Kill one entry."""
+        self.print_progress(f"killing {name}, process {self.runner.runs[name].pid}")
         self.runner.signal(name, signal.SIGKILL)
         self.runner.wait(name, COMMAND_LIMIT_S)
 
     def restart(self, name):
-        """Start a killed entry again."""
-        self.say(f"start {name} again")
+        """Restart a killed entry."""
+        self.print_progress(f"restarting {name}")
         self.start_entry(name)
 
-    def died(self):
-        """Return the processes that ended though they should not have."""
-        return [name for name in self.runner.ended() if name not in self.meant_to_end]
+    def unexpected_exits(self):
+        """Return the names of the processes that exited unexpectedly."""
+        return [
+            name for name in self.runner.ended() if name not in self.expected_to_exit
+        ]
 
 
 def interrupt(signum, frame):
-    """Treat a request to end like Ctrl-C, so that all processes are ended."""
+    """Handle SIGTERM like Ctrl-C, so that all processes are stopped."""
     raise KeyboardInterrupt
 
 
 def run_demo(entry="", ctl="", block=prepare.BLOCK):
-    """Run the demo; ENTRY and CTL stand in for the two programs when given.
+    """Run the demo; ENTRY and CTL replace the commands of the two programs.
 
-    All its addresses are loopback ones, whose second byte is BLOCK.
+    All addresses are loopback addresses; BLOCK is their second byte.
     """
     signal.signal(signal.SIGTERM, interrupt)
     preparation = prepare.Preparation(block, DIRECTORY)
@@ -214,30 +222,30 @@
         try:
             demo.start_site()
             status = demo.run_load()
-            failures = [f"{name} died" for name in demo.died()]
+            failures = [f"{name} exited early" for name in demo.unexpected_exits()]
             if status:
-                failures.append(f"the load tool's exit status was {status}")
+                failures.append(f"the exit status of the load generator was {status}")
         except (RuntimeError, TimeoutError, subprocess.TimeoutExpired) as exc:
             failures = [str(exc)]
         except KeyboardInterrupt:
             failures = ["interrupted"]
         finally:
             runner.stop_all()
-        return conclude(demo, failures, log)
+        return print_result(demo, failures, log)
 
 
-def conclude(demo, failures, log):
-    """Print the table and what failed; return the exit status."""
-    took_s = time.monotonic() - demo.began_s
-    if took_s > WHOLE_LIMIT_S:
-        failures.append(f"took {took_s:.0f} s, more than {WHOLE_LIMIT_S:g} s")
+def print_result(demo, failures, log):
+    """Print the table and the failures; return the exit status."""
+    took_s = time.monotonic() - demo.started_s
+    if took_s > DEMO_LIMIT_S:
+        failures.append(f"took {took_s:.0f} s, more than {DEMO_LIMIT_S:g} s")
     if TABLE.exists():
         print(TABLE.read_text())
     for failure in failures:
         print(f"FAILED: {failure}")
     if failures:
-        print(f"What the processes said is in {log.name}.")
-    demo.say("failed" if failures else "passed")
+        print(f"The logs of the processes are in {log.name}.")
+    demo.print_progress("failed" if failures else "passed")
     return 1 if failures else 0
 
 
--- a/extras/demo/runner.py
+++ b/extras/demo/runner.py
@@ -1,4 +1,4 @@
-"""Runs the demo's processes with honcho, and ends them by their ids."""
+"""Runs the processes of the demo with honcho, and stops them by their process IDs."""
 
 import datetime
 import os
@@ -19,7 +19,7 @@
 
 @dataclass
 class Run:
-    """One process: its id once started, its return code once ended."""
+    """A process: its ID once it is started, its return code once it has exited."""
 
     name: str
     pid: int | None = None
@@ -27,12 +27,12 @@
 
     @property
     def alive(self):
-        """Whether the process was started and has not ended."""
+        """Whether the process was started and has not exited."""
         return self.pid is not None and self.returncode is None
 
 
 class Runner:
-    """Starts processes, gathers their output in one file, and ends them."""
+    """Starts processes, writes their output to one log file, and stops them."""
 
     def __init__(self, log):
         self.printer = Printer(log, colour=False, width=8)
@@ -43,9 +43,9 @@
         self.collector.start()
 
     def start(self, name, command, output=None):
-        """Start ``command``, a list of words, and wait until it has an id.
+        """Start ``command``, a list of words, and wait until it has a process ID.
 
-        Its standard output goes to the file ``output`` if that is given.
+        If ``output`` is given, standard output is redirected to that file.
         """
         run = self.runs[name] = Run(name)
         shell_line = "exec " + shlex.join(command)
@@ -66,35 +66,35 @@
                 run.pid = event.data["pid"]
             elif event.type == "stop":
                 run.returncode = event.data["returncode"]
-                self._note(run.name, f"ended with {run.returncode}")
+                self._log_event(run.name, f"exited with status {run.returncode}")
             else:
                 self.printer.write(event)
 
-    def _note(self, name, text):
+    def _log_event(self, name, text):
         now = datetime.datetime.now()
         self.printer.write(Message("line", text, now, name, None))
 
     def signal(self, name, signum):
-        """Send a signal to one process, by its id."""
+        """Send a signal to a process if it is running."""
         run = self.runs[name]
         if run.alive:
             os.kill(run.pid, signum)
 
     def wait(self, name, limit_s):
-        """Wait until a process has ended; return its code."""
+        """Wait until a process has exited; return its return code."""
         run = self.runs[name]
-        wait_for(lambda: not run.alive, limit_s, f"{name} to end")
+        wait_for(lambda: not run.alive, limit_s, f"{name} to exit")
         return run.returncode
 
     def ended(self):
-        """Return the names of the processes that have ended."""
+        """Return the names of the processes that have exited."""
         return [run.name for run in self.runs.values() if run.returncode is not None]
 
     def stop_all(self):
-        """End all processes; kill those that do not end by themselves.
+        """Send SIGTERM to all processes, and SIGKILL to those that do not exit.
 
-        Another Ctrl-C meanwhile changes nothing, and a process that is just
-        being started is waited for, so that none is left behind.
+        Ignores another Ctrl-C meanwhile, and waits for processes that are still being
+        started, so that none is left running.
         """
         for signum in (signal.SIGINT, signal.SIGTERM):
             signal.signal(signum, signal.SIG_IGN)
--- a/extras/demo/serve.py
+++ b/extras/demo/serve.py
@@ -1,4 +1,4 @@
-"""The demo's site without its load: starts, and stays until Ctrl-C."""
+"""The site of the demo without its load: runs until Ctrl-C."""
 
 import signal
 import sys
@@ -13,9 +13,9 @@
 
 
 def serve(block=prepare.BLOCK):
-    """Start the site, and end it when asked to; return the exit status.
+    """Start the site, and stop it on Ctrl-C or SIGTERM; return the exit status.
 
-    All its addresses are loopback ones, whose second byte is BLOCK.
+    All addresses are loopback addresses; BLOCK is their second byte.
     """
     signal.signal(signal.SIGTERM, interrupt)
     preparation = prepare.Preparation(block, DIRECTORY)
@@ -26,10 +26,12 @@
         demo = Demo(preparation.site, runner, *commands)
         try:
             demo.start_site()
-            demo.say(f"all is ready; {log.name} has the logs; end with Ctrl-C")
-            stay(demo)
+            demo.print_progress(
+                f"the site is ready; logs are in {log.name}; stop with Ctrl-C"
+            )
+            report_exits(demo)
         except KeyboardInterrupt:
-            demo.say("end all processes")
+            demo.print_progress("stopping all processes")
         except (RuntimeError, TimeoutError) as exc:
             print(f"FAILED: {exc}; see {log.name}")
             return 1
@@ -38,13 +40,13 @@
     return 0
 
 
-def stay(demo):
-    """Tell of each process that ends, until a signal comes."""
-    told = set()
+def report_exits(demo):
+    """Report each process that exits, until a signal arrives."""
+    reported = set()
     while True:
-        for name in set(demo.died()) - told:
-            told.add(name)
-            demo.say(f"{name} has ended")
+        for name in set(demo.unexpected_exits()) - reported:
+            reported.add(name)
+            demo.print_progress(f"{name} has exited")
         time.sleep(CHECK_PERIOD_S)
 
 
--- a/extras/demo_platform.py
+++ b/extras/demo_platform.py
@@ -1,8 +1,8 @@
 """Run a site with direct return on loopback: `make demo-platform`.
 
-Five entry processes, a store, eight targets and callers; a target is replaced, an
-entry killed, another stopped, and a domain evacuated. It ends by itself with what
-the callers saw; the exit status is 1 if a promise was broken.
+It has five entry processes, a store, eight targets and callers. A target is replaced,
+an entry killed, another stopped, and a domain evacuated. At the end it prints what
+the callers saw; the exit status is 1 if a guarantee was violated.
 """
 
 import sys
@@ -10,7 +10,7 @@
 from tests.soak import faults
 from tests.soak.run import run
 
-STORY = (
+SCENARIO = (
     faults.drain_target,
     faults.kill_entry,
     faults.stop_entry,
@@ -19,4 +19,4 @@
 )
 
 if __name__ == "__main__":
-    sys.exit(run(seed=1, seconds=30.0, net=39, story=STORY))
+    sys.exit(run(seed=1, seconds=30.0, net=39, story=SCENARIO))
--- a/extras/report.py
+++ b/extras/report.py
@@ -1,9 +1,8 @@
-"""Draw how the days of the users' bench went over the commits.
+"""Plot the scores of the users' bench over the commits.
 
-``make report`` reads the journal and writes one plot of worth and one of prices
-for each site to ``build/report``. With ``--site FILE`` it also prints what the
-best reachable worth of the site's days is, as far as restarts of all entries
-bound it::
+``make report`` reads the journal and writes a plot of worth and one of prices for
+each site to ``build/report``. With ``--site FILE`` it also prints an upper bound on
+the worth of each day of the site, which follows from the restarts of all entries::
 
     .venv/bin/python extras/report.py --site sites/rust-be.toml
 """
@@ -21,51 +20,54 @@
 ROOT = Path(__file__).resolve().parent.parent
 OUTPUT = ROOT / "build" / "report"
 
-# When callers send a packet again, in seconds after the first (the platform's
-# protocol): opening packets for 1.4 s in each of three tries, data for longer.
+# Times at which callers transmit a packet, in seconds after the first transmission
+# (by the platform's protocol). A packet that opens a flow is sent in three tries of
+# 1.4 s each; a data packet is retransmitted for longer.
 OPENING_TRY_S = 1.4
-OPENING_COPIES_S = (0.0, 0.2, 0.6)
+OPENING_TRANSMISSIONS_S = (0.0, 0.2, 0.6)
 OPENING_TRIES = 3
 OPENING_SENT_S = tuple(
-    attempt * OPENING_TRY_S + copy
+    attempt * OPENING_TRY_S + transmission
     for attempt in range(OPENING_TRIES)
-    for copy in OPENING_COPIES_S
+    for transmission in OPENING_TRANSMISSIONS_S
 )
-DATA_COPIES_S = (0.0, 0.2, 0.6, 1.4, 3.0, 4.6, 6.2, 7.8)
+DATA_TRANSMISSIONS_S = (0.0, 0.2, 0.6, 1.4, 3.0, 4.6, 6.2, 7.8)
 
-# From the return of a machine to the first packet forwarded: the interpreter and
-# the entry's own start (docs/PLATFORM.md).
+# Time from the return of a machine to the first forwarded packet: the start of the
+# interpreter and of the entry (docs/PLATFORM.md).
 START_S = 0.4
-STEP_S = 0.01
+SAMPLE_STEP_S = 0.01
 
 
 def credit(demand: Demand, sent_s: float, back_s: float) -> float:
-    """Return what a request earns that was sent while no entry was there."""
-    waits = OPENING_SENT_S if demand.opens_flow else DATA_COPIES_S
-    served = [wait for wait in waits if sent_s + wait >= back_s]
+    """Return the credit for a request that was first sent while no entry was up."""
+    transmissions = OPENING_SENT_S if demand.opens_flow else DATA_TRANSMISSIONS_S
+    served = [wait for wait in transmissions if sent_s + wait >= back_s]
     if not served or served[0] > demand.deadline_s:
         return 0.0
     return 1.0 if served[0] <= demand.aim_s else demand.late_credit
 
 
 def lost_seconds(demands: tuple[Demand, ...], outage_s: float) -> float:
-    """Return how many seconds' worth of requests an outage costs at least."""
-    steps = [number * STEP_S for number in range(round(outage_s / STEP_S))]
+    """Return the credit that an outage costs at least, in seconds of full credit."""
+    steps = [
+        number * SAMPLE_STEP_S for number in range(round(outage_s / SAMPLE_STEP_S))
+    ]
     lost = 0.0
     for demand in demands:
         earned = sum(credit(demand, sent_s, outage_s) for sent_s in steps)
         lost += demand.share * (len(steps) - earned)
-    return lost * STEP_S
+    return lost * SAMPLE_STEP_S
 
 
 def limit(day: SiteDay, demands: tuple[Demand, ...]) -> float:
-    """Return the share of a day's credit that can be earned at best."""
+    """Return the maximum share of a day's credit that can be earned."""
     outage_s = day.down_s + START_S if day.down_s else 0.0
     return 1.0 - lost_seconds(demands, outage_s) / day.length_s
 
 
 def draw_worth(site: str, scores: list) -> Path:
-    """Draw the worth of each standard day over the scores of a site."""
+    """Plot the worth of each standard day over the scores of a site."""
     chart = pygal.Line(
         title=f"{site}: worth by day", x_label_rotation=60, range=(0.5, 1.0)
     )
@@ -80,7 +82,7 @@
 
 
 def draw_prices(site: str, score) -> Path:
-    """Draw the prices of each day of one score."""
+    """Plot the prices of each day of one score."""
     chart = pygal.StackedBar(title=f"{site}: prices by day, {score.commit}")
     chart.x_labels = [day.name for day in score.days]
     names = {p.name for day in score.days for p in day.prices if p.cost >= 0.001}
@@ -98,7 +100,7 @@
 
 
 def report(journal: str = str(ROOT / "journal"), site: str = "") -> int:
-    """Draw all plots; with a site file, print the limits of its days too."""
+    """Draw all plots; with a site file, also print the limits of its days."""
     by_site = defaultdict(list)
     for score in scores_in(Path(journal)):
         by_site[score.site].append(score)
@@ -108,8 +110,12 @@
         draw_prices(name, scores[-1])
         for day in scores[-1].days:
             prices = sorted(day.prices, key=lambda price: -price.cost)[:3]
-            told = ", ".join(f"{p.name} {p.cost:.3f}" for p in prices if p.cost > 0)
-            rows.append((name, scores[-1].commit, day.name, f"{day.worth:.3f}", told))
+            top_prices = ", ".join(
+                f"{p.name} {p.cost:.3f}" for p in prices if p.cost > 0
+            )
+            rows.append(
+                (name, scores[-1].commit, day.name, f"{day.worth:.3f}", top_prices)
+            )
     print(tabulate(rows, headers=("site", "commit", "day", "worth", "prices")))
     print(f"plots: {OUTPUT}")
     if site:
@@ -120,7 +126,7 @@
 
 
 def main() -> None:
-    """Run with the arguments of the process."""
+    """Run with the command-line arguments."""
     sys.exit(fire.Fire(report, serialize=lambda _: ""))
 
 
--- a/kumquatshift/measures/load_model.py
+++ b/kumquatshift/measures/load_model.py
@@ -152,7 +152,7 @@
 class Tally:
     """Outcomes of the requests of one service.
 
-    ``ends`` has the time of each outcome, and whether it was a success.
+    ``completions`` has the time of each outcome, and whether it was a success.
     """
 
     offered: int = 0
@@ -160,7 +160,7 @@
     shed: int = 0
     lost: int = 0
     latencies_s: list[float] = field(default_factory=list)
-    ends: list[tuple[float, bool]] = field(default_factory=list)
+    completions: list[tuple[float, bool]] = field(default_factory=list)
 
     @property
     def answered_share(self) -> float:
@@ -292,7 +292,7 @@
         now = self.timeline.now
         if outcome is Outcome.GOOD:
             self.tallies[req.service].latencies_s.append(now - req.arrived)
-            self.tallies[req.service].ends.append((now, True))
+            self.tallies[req.service].completions.append((now, True))
         else:
             self._count(req, "lost" if outcome is Outcome.LOST else "shed")
         max_age_s = SHED_MAX_AGE_S if outcome is Outcome.SHED else 0.0
@@ -303,7 +303,7 @@
     def _count(self, req, outcome_name):
         tally = self.tallies[req.service]
         setattr(tally, outcome_name, getattr(tally, outcome_name) + 1)
-        tally.ends.append((self.timeline.now, False))
+        tally.completions.append((self.timeline.now, False))
 
 
 def site_targets(
--- a/kumquatshift/measures/request_site.py
+++ b/kumquatshift/measures/request_site.py
@@ -60,7 +60,7 @@
 
 
 class Entry:
-    """An entry, which is also the `Standing` of its policy."""
+    """An entry, which is also the `FlowAuthority` of its policy."""
 
     def __init__(self, site, name, make_policy):
         self.site, self.name, self.make_policy = site, name, make_policy
