--- a/kumquatshift/measures/packet_lanes.py
+++ b/kumquatshift/measures/packet_lanes.py
@@ -127,7 +127,7 @@
     The other entries are sockets that only receive::
 
         with Bench() as bench:
-            bench.hold(bench.flows_of_primary(1000))
+            bench.insert_flows(bench.flows_of_primary(1000))
             seconds = bench.time_batch(bench.home, packets)
     """
 
