--- a/kumquatshift/measures/allowances.py
+++ b/kumquatshift/measures/allowances.py
@@ -16,8 +16,8 @@
 from ..engine.priority import Claim
 from ..engine.slots import Granted, Outcome, Rejected, Rejection, SlotPool
 from .load_model import (
+    MEAN_SERVICE_S,
     PLAIN,
-    SERVICE_S,
     TICK_S,
     Load,
     Model,
@@ -28,7 +28,7 @@
 DECIDERS = 9
 HOSTS = 7
 SLOTS = 2
-CAPACITY = HOSTS * SLOTS / SERVICE_S
+CAPACITY = HOSTS * SLOTS / MEAN_SERVICE_S
 RUN_S = 40.0
 SEED = 20
 
--- a/kumquatshift/measures/load_model.py
+++ b/kumquatshift/measures/load_model.py
@@ -15,16 +15,16 @@
 from ..engine.priority import Claim
 from ..engine.slots import Granted, Outcome, Rejected
 
-SERVICE_S = 0.1
+MEAN_SERVICE_S = 0.1
 SERVICE_SHAPE = 4.0
 COLD_SLOWDOWN = 4.0
-COLD_S = 5.0
+COLD_DURATION_S = 5.0
 COLD_SLOTS = 1
 CRASH_EXCESS_REQUESTS = 3
 CRASH_WINDOW_S = 1.0
 CRASH_DOWNTIME_S = 2.0
 TARGET_BACKLOG = 2
-HOP_S = 0.0005
+HOP_LATENCY_S = 0.0005
 TICK_S = 0.05
 DEADLINE_S = 5.0
 SHED_MAX_AGE_S = 1.0
@@ -89,7 +89,7 @@
 
     def make_cold(self):
         """Turn cold, as after a restart or a loss of caches, without any report."""
-        self.cold_until = self.timeline.now + COLD_S
+        self.cold_until = self.timeline.now + COLD_DURATION_S
 
     def arrive(self, answer: Callable[[Outcome], None]):
         """Receive a request; ``answer`` gets its outcome, or is never called."""
@@ -129,11 +129,11 @@
         self.waiting.clear()
         self.excess_at.clear()
         self.down_until = self.timeline.now + CRASH_DOWNTIME_S
-        self.cold_until = self.down_until + COLD_S
+        self.cold_until = self.down_until + COLD_DURATION_S
 
     def _run(self, answer):
         self.running += 1
-        service_s = self.rng.gammavariate(SERVICE_SHAPE, SERVICE_S / SERVICE_SHAPE)
+        service_s = self.rng.gammavariate(SERVICE_SHAPE, MEAN_SERVICE_S / SERVICE_SHAPE)
         if self.is_cold():
             service_s *= COLD_SLOWDOWN
         self.busy_s += service_s
@@ -241,9 +241,9 @@
         self.tallies[load.service].offered += 1
         decider = self.rng.choices(range(len(self.weights)), self.weights)[0]
         req = Request(next(self._numbers), load.service, self.timeline.now)
-        self._ask(req, self.route(decider))
+        self._request_slot(req, self.route(decider))
 
-    def _ask(self, req, pools):
+    def _request_slot(self, req, pools):
         """Ask each pool for a free slot, and then each to queue the request.
 
         The first round is left out if there is only one pool.
@@ -268,7 +268,7 @@
             if isinstance(verdict, Granted):
                 req = self._waiting.pop(verdict.ticket)
                 req.target = verdict.target
-                self.timeline.call_later(self.hops * HOP_S, self._send, req)
+                self.timeline.call_later(self.hops * HOP_LATENCY_S, self._send, req)
             elif isinstance(verdict, Rejected):
                 req = self._waiting.pop(verdict.ticket)
                 self._count(req, "refused")
--- a/kumquatshift/measures/request_schedules.py
+++ b/kumquatshift/measures/request_schedules.py
@@ -7,7 +7,7 @@
 
 from aiocoap.numbers.codes import Code
 
-from .request_site import HOPS, Entry, Site, core_policy
+from .request_site import HOPS, Entry, Site, engine_policy
 
 ENTRIES = ("e0", "e1", "e2", "e3")
 TARGETS = ("t0", "t1", "t2")
@@ -113,7 +113,7 @@
             self.refused.update(getattr(entry.policy, "refused", ()))
 
 
-def play(schedule: Schedule, make_policy: Callable[[Entry], object] = core_policy):
+def play(schedule: Schedule, make_policy: Callable[[Entry], object] = engine_policy):
     """Run one schedule to its end, and return the site."""
     site = Site(schedule.seed, make_policy)
     for target in site.targets.values():
