--- a/kumquatshift/direct/members.py
+++ b/kumquatshift/direct/members.py
@@ -1,10 +1,10 @@
-"""Which entries there are, and which of them read the store for the others.
+"""Membership of entries, and selection of those that read the store for others.
 
-Entries of a failure domain send each other heartbeats. Two of them, by
-rendezvous hashing over those that reach the store, keep watches open and tell
-the rest what is new; nobody is elected, and one reader too many or too few for
-a moment costs a few calls. Nothing here needs to be agreed on: an entry that
-hears nobody reads for itself.
+Entries of a failure domain send each other heartbeats. Two of them, chosen by
+rendezvous hashing among those that reach the store, watch it and pass changes on
+to the rest. There is no election and no consensus: a reader too many or too few
+for a moment only costs a few calls, and an entry without peers reads the store
+itself.
 """
 
 from __future__ import annotations
@@ -19,35 +19,36 @@
 from .suspicion import Answering, Suspect
 
 if TYPE_CHECKING:
-    from .events import Events
+    from .events import EventSink
 
 BEAT_S = 1.0
 
-# A reader's heartbeat also tells how old its news is, so it comes more often.
+# A reader's heartbeat also carries the age of its updates, so it is sent more
+# often.
 READER_BEAT_S = 0.5
 
-# Three heartbeats and a half: two in a row may be lost.
-LOST_AFTER_S = 3.5
+# Three and a half heartbeat intervals, so that two in a row may be lost.
+PEER_TIMEOUT_S = 3.5
 
-READERS = 2
+READERS_PER_DOMAIN = 2
 
-# Below this many entries a domain's own watches cost fewer calls than readers
-# whose short watches prove every second that they work.
-MIN_SHARING = 6
+# In smaller domains, a watch by each entry costs fewer calls than two readers,
+# whose watches are renewed about every second to prove that they work.
+MIN_ENTRIES_FOR_READERS = 6
 
-# A seed remembers who has asked it, so that those of one domain find each
-# other through a seed in another; entries ask again when they are alone.
-REMEMBER_ASKED_S = 30.0
-MAX_ASKED = 2000
+# A seed remembers the entries that have queried it, so that entries of one domain
+# find each other through a seed in another. Entries without peers query again.
+QUERIER_TTL_S = 30.0
+MAX_QUERIERS = 2000
 
-# Whom to ask for the other entries: soon after the start, when all start at
-# once, and then while nobody of the domain is heard.
+# When to query the seeds for other entries: several times soon after the start,
+# as all entries may start at once, and later while no peer is known.
 ASK_AT_S = (0.0, 0.5, 1.5, 4.0)
 ASK_ALONE_EVERY_S = 5.0
 
 
 class Beat(NamedTuple):
-    """What an entry tells the others of its domain about itself."""
+    """Heartbeat that an entry sends to its peers in the domain."""
 
     name: str
     domain: str
@@ -61,116 +62,124 @@
 
 
 class Member(NamedTuple):
-    """Where an entry is, for those that have not heard it yet."""
+    """Name, domain and address of an entry."""
 
     name: str
     domain: str
     address: tuple[str, int]
 
 
-class Heard(NamedTuple):
-    """A heartbeat, and when it came."""
+class ReceivedHeartbeat(NamedTuple):
+    """A heartbeat and the time of its arrival."""
 
     beat: Beat
     at: float
 
 
 class Members:
-    """The entries that one entry knows of."""
+    """The other entries known to one entry."""
 
-    def __init__(self, me: Member, seeds: Iterable[tuple[str, int]], events: Events):
+    def __init__(self, me: Member, seeds: Iterable[tuple[str, int]], events: EventSink):
         self.me = me
         self._seeds = tuple(seed for seed in seeds if seed != me.address)
         self._events = events
-        self._heard: dict[str, Heard] = {}
-        self._named: dict[str, Member] = {}
-        self._asked: dict[str, tuple[Member, float]] = {}
+        self._heartbeats: dict[str, ReceivedHeartbeat] = {}
+        self._candidates: dict[str, Member] = {}
+        self._queriers: dict[str, tuple[Member, float]] = {}
 
     def hear(self, beat: Beat, now: float) -> None:
-        """Take in a heartbeat."""
+        """Process a heartbeat."""
         if beat.name == self.me.name:
             return
-        if beat.name not in self._heard and beat.domain == self.me.domain:
+        if beat.name not in self._heartbeats and beat.domain == self.me.domain:
             self._events.emit(Event.PEER_JOINED, peer=beat.name)
-        self._heard[beat.name] = Heard(beat, now)
-        self._named.pop(beat.name, None)
+        self._heartbeats[beat.name] = ReceivedHeartbeat(beat, now)
+        self._candidates.pop(beat.name, None)
 
     def hear_of(self, members: Iterable[Member]) -> None:
-        """Take in where other entries of the own domain are."""
+        """Add entries of the own domain that have not sent a heartbeat yet."""
         for member in members:
-            unheard = member.name not in self._heard and member.name != self.me.name
-            if unheard and member.domain == self.me.domain:
-                self._named[member.name] = member
+            is_unknown = (
+                member.name not in self._heartbeats and member.name != self.me.name
+            )
+            if is_unknown and member.domain == self.me.domain:
+                self._candidates[member.name] = member
 
     def note_asking(self, member: Member, now: float) -> None:
-        """Keep where an entry is, for those who ask for others of its domain."""
+        """Record an entry that queried this one, to name it to others in its domain."""
         self.hear_of((member,))
-        if len(self._asked) < MAX_ASKED or member.name in self._asked:
-            self._asked[member.name] = member, now
+        if len(self._queriers) < MAX_QUERIERS or member.name in self._queriers:
+            self._queriers[member.name] = member, now
 
     def expire(self, now: float) -> None:
-        """Forget entries that have not been heard for long."""
-        for name, (_, at) in list(self._asked.items()):
-            if now - at > REMEMBER_ASKED_S:
-                del self._asked[name]
-        for name, heard in list(self._heard.items()):
-            if now - heard.at > LOST_AFTER_S:
-                del self._heard[name]
-                if heard.beat.domain == self.me.domain:
+        """Drop entries whose last heartbeat or query is too old."""
+        for name, (_, at) in list(self._queriers.items()):
+            if now - at > QUERIER_TTL_S:
+                del self._queriers[name]
+        for name, received in list(self._heartbeats.items()):
+            if now - received.at > PEER_TIMEOUT_S:
+                del self._heartbeats[name]
+                if received.beat.domain == self.me.domain:
                     self._events.emit(
-                        Event.PEER_LOST, peer=name, silent_s=round(now - heard.at, 3)
+                        Event.PEER_LOST, peer=name, silent_s=round(now - received.at, 3)
                     )
 
-    def peers(self) -> list[Heard]:
-        """Return the other entries of the domain that are heard."""
+    def peers(self) -> list[ReceivedHeartbeat]:
+        """Return the latest heartbeats of the other entries in the domain."""
         own = self.me.domain
-        return [heard for heard in self._heard.values() if heard.beat.domain == own]
+        return [
+            received
+            for received in self._heartbeats.values()
+            if received.beat.domain == own
+        ]
 
     def domain_members(self, domain: str) -> tuple[Member, ...]:
-        """Return the entries of any domain that were heard or have asked."""
-        heard = {
+        """Return known entries of any domain, from heartbeats and queries."""
+        received = {
             beat.name: Member(beat.name, beat.domain, beat.address)
-            for beat, _ in self._heard.values()
+            for beat, _ in self._heartbeats.values()
         }
-        asked = {name: member for name, (member, _) in self._asked.items()}
-        found = {**asked, **heard}
+        queriers = {name: member for name, (member, _) in self._queriers.items()}
+        found = {**queriers, **received}
         return tuple(each for each in found.values() if each.domain == domain)
 
     def addresses(self) -> list[tuple[str, int]]:
-        """Return where heartbeats go: to the domain, heard or only named."""
-        found = {heard.beat.address for heard in self.peers()}
-        found.update(member.address for member in self._named.values())
+        """Return the addresses to send heartbeats to: peers and candidates."""
+        found = {received.beat.address for received in self.peers()}
+        found.update(member.address for member in self._candidates.values())
         return sorted(found)
 
     def forget_named(self) -> None:
-        """Forget entries that were only named and have not answered."""
-        self._named.clear()
+        """Drop entries that were named by others but sent no heartbeat."""
+        self._candidates.clear()
 
     def seeds(self) -> tuple[tuple[str, int], ...]:
-        """Return whom to ask for other entries."""
+        """Return the addresses to query for other entries."""
         return self._seeds
 
     def names(self) -> list[str]:
         """Return the names of the domain's entries, this one included."""
-        return sorted([self.me.name, *(heard.beat.name for heard in self.peers())])
+        return sorted(
+            [self.me.name, *(received.beat.name for received in self.peers())]
+        )
 
-    def shares(self) -> bool:
-        """Tell whether the domain has enough entries for readers to pay."""
-        return len(self.peers()) + 1 >= MIN_SHARING
+    def uses_readers(self) -> bool:
+        """Return whether the domain is large enough to use shared readers."""
+        return len(self.peers()) + 1 >= MIN_ENTRIES_FOR_READERS
 
     def is_reader(self, kind: str, reaches_store: bool) -> bool:
-        """Tell whether this entry is one of those that read for the domain.
+        """Return whether this entry is one of the domain's readers.
 
-        While nobody reaches the store, it is one of those that ask for it often.
+        While no entry reaches the store, the readers are those that retry often.
         """
-        staying = [h.beat for h in self.peers() if not h.beat.is_leaving]
-        able = [beat.name for beat in staying if beat.reaches_store]
+        remaining = [h.beat for h in self.peers() if not h.beat.is_leaving]
+        eligible = [beat.name for beat in remaining if beat.reaches_store]
         if reaches_store:
-            able.append(self.me.name)
-        if not able:
-            able = [self.me.name, *(beat.name for beat in staying)]
-        able.sort(key=lambda name: _score(kind, name), reverse=True)
-        return self.me.name in able[:READERS]
+            eligible.append(self.me.name)
+        if not eligible:
+            eligible = [self.me.name, *(beat.name for beat in remaining)]
+        eligible.sort(key=lambda name: _score(kind, name), reverse=True)
+        return self.me.name in eligible[:READERS_PER_DOMAIN]
 
 
 def _score(kind: str, name: str) -> int:
--- a/kumquatshift/direct/site.py
+++ b/kumquatshift/direct/site.py
@@ -1,7 +1,7 @@
-"""What an entry knows of its site: routes, targets and evacuated domains.
+"""State of the site as known to an entry: routes, targets, evacuated domains.
 
-News comes from the platform's store or from peers, in any order; what is in
-force never goes back to something older.
+Updates arrive from the platform's store or from peers in any order; a newer
+configuration is never replaced by an older one.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from .targets import LiveTarget, Report, TargetTable
 
 if TYPE_CHECKING:
-    from .events import Events
+    from .events import EventSink
 
 
 class Site:
-    """The state that decisions about flows go by."""
+    """The state on which decisions about flows are based."""
 
-    def __init__(self, placement: Placement, events: Events):
+    def __init__(self, placement: Placement, events: EventSink):
         self.routes = RouteTable()
         self.targets = TargetTable()
         self.placement = placement
@@ -32,12 +32,12 @@
 
     @property
     def is_known(self) -> bool:
-        """Whether everything that decisions need has been learnt once."""
+        """Whether routes, targets and evacuations have all been received."""
         known = self._has_configuration and self._has_targets
         return known and self._has_evacuations
 
     def put_configuration(self, cfg: Configuration, source: str) -> None:
-        """Put a configuration in force, unless it is not newer."""
+        """Activate a configuration if it is newer than the active one."""
         self._has_configuration = True
         if self.routes.put(cfg):
             self._events.emit(
@@ -48,17 +48,17 @@
             )
 
     def list_targets(self, reports: Iterable[Report], now: float) -> None:
-        """Take in the whole list; those missing from it have left."""
+        """Replace the list of targets; targets missing from it are removed."""
         self._has_targets = True
         names = set()
         for report in reports:
             names.add(report.name)
             self.put_target(report, now)
         for target in self.targets.retain(names, now):
-            self._tell_gone(target, now)
+            self._log_gone(target, now)
 
     def put_target(self, report: Report, now: float) -> None:
-        """Take in what one target says of itself."""
+        """Add or update one target from its report."""
         known = self.targets.get(report.name)
         was_draining = known is not None and known.draining
         target = self.targets.put(report, now)
@@ -77,13 +77,13 @@
             )
 
     def remove_target(self, name: str, now: float) -> None:
-        """Take a target off the list."""
+        """Remove a target from the list."""
         target = self.targets.remove(name, now)
         if target is not None:
-            self._tell_gone(target, now)
+            self._log_gone(target, now)
 
     def list_evacuations(self, domains: Iterable[str]) -> None:
-        """Take in the whole list of domains that get nothing new."""
+        """Replace the list of evacuated domains, which get no new flows."""
         self._has_evacuations = True
         domains = frozenset(domains)
         for domain in domains - self.placement.evacuated:
@@ -93,21 +93,21 @@
         self.placement.evacuated = domains
 
     def evacuate(self, domain: str) -> None:
-        """Send nothing new to a domain."""
+        """Stop sending new flows to a domain."""
         self.list_evacuations(self.placement.evacuated | {domain})
 
-    def take_back(self, domain: str) -> None:
-        """Use a domain again."""
+    def restore_domain(self, domain: str) -> None:
+        """Resume sending new flows to a domain."""
         self.list_evacuations(self.placement.evacuated - {domain})
 
     def note_relisting(self, now: float) -> None:
-        """Note that the list of targets was out of reach until now.
+        """Record that the list of targets was unreachable until now.
 
-        Living targets may be missing from it until they have reported again.
+        Live targets may be missing from it until they have reported again.
         """
         self.placement.relisting_since = now
 
-    def _tell_gone(self, target: LiveTarget, now: float) -> None:
+    def _log_gone(self, target: LiveTarget, now: float) -> None:
         self._events.emit(
             Event.TARGET_GONE,
             target=target.name,
