--- a/extras/capacity.py
+++ b/extras/capacity.py
@@ -289,8 +289,8 @@
         record = Record(key, targets[caller % len(targets)], 1, int(now * 1000))
         flow = node.flows.put(record, bucket_of(key), now)
         flow.holders = node.members.ring.holders(flow.bucket)
-        flow.placed_at = now
-        flow.proven = True
+        flow.replicated_at = now
+        flow.fully_replicated = True
 
 
 def openings(number: int) -> tuple[float, ...]:
--- a/extras/report.py
+++ b/extras/report.py
@@ -15,7 +15,7 @@
 import pygal
 from tabulate import tabulate
 
-from kumquatshift.platform.journal import Demand, SiteDay, scores_in, site_days
+from kumquatshift.platform.journal import RequestClass, SiteDay, scores_in, site_days
 
 ROOT = Path(__file__).resolve().parent.parent
 OUTPUT = ROOT / "build" / "report"
@@ -39,7 +39,7 @@
 SAMPLE_STEP_S = 0.01
 
 
-def credit(demand: Demand, sent_s: float, back_s: float) -> float:
+def credit(demand: RequestClass, sent_s: float, back_s: float) -> float:
     """Return the credit for a request that was first sent while no entry was up."""
     transmissions = OPENING_SENT_S if demand.opens_flow else DATA_TRANSMISSIONS_S
     served = [wait for wait in transmissions if sent_s + wait >= back_s]
@@ -48,7 +48,7 @@
     return 1.0 if served[0] <= demand.aim_s else demand.late_credit
 
 
-def lost_seconds(demands: tuple[Demand, ...], outage_s: float) -> float:
+def lost_seconds(demands: tuple[RequestClass, ...], outage_s: float) -> float:
     """Return the credit that an outage costs at least, in seconds of full credit."""
     steps = [
         number * SAMPLE_STEP_S for number in range(round(outage_s / SAMPLE_STEP_S))
@@ -60,7 +60,7 @@
     return lost * SAMPLE_STEP_S
 
 
-def limit(day: SiteDay, demands: tuple[Demand, ...]) -> float:
+def limit(day: SiteDay, demands: tuple[RequestClass, ...]) -> float:
     """Return the maximum share of a day's credit that can be earned."""
     outage_s = day.down_s + START_S if day.down_s else 0.0
     return 1.0 - lost_seconds(demands, outage_s) / day.length_s
--- a/kumquatshift/adapters/admin.py
+++ b/kumquatshift/adapters/admin.py
@@ -132,7 +132,7 @@
 
     def render_GET(self, request: Request) -> bytes | int:  # noqa: N802
         try:
-            chunks = json_pieces(self._make())
+            chunks = json_chunks(self._make())
         except Exception:
             return _respond_error(request)
         request.setHeader(b"content-type", b"application/json")
@@ -172,7 +172,7 @@
         self._request.transport.abortConnection()
 
 
-def json_pieces(value: Mapping[str, Any]) -> Iterator[str]:
+def json_chunks(value: Mapping[str, Any]) -> Iterator[str]:
     """Yield the JSON text of an object in chunks that each take little time."""
     separator = "{"
     for name, part in value.items():
--- a/kumquatshift/adapters/entry_metrics.py
+++ b/kumquatshift/adapters/entry_metrics.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class Sources:
+class MetricSources:
     """Where an entry's metrics are read from.
 
     ``store_outcomes`` and ``drain_times`` are called for each page; the latter
@@ -46,7 +46,7 @@
 class EntryMetrics:
     """Renders the metrics and the state of one entry."""
 
-    def __init__(self, clock, sources: Sources):
+    def __init__(self, clock, sources: MetricSources):
         self._clock = clock
         self._sources = sources
         self._metrics = Metrics(clock)
@@ -137,12 +137,12 @@
 
 
 def _feed_state(feed: Feed, now: float) -> dict:
-    tick = feed.tick(now)
+    status = feed.status(now)
     return {
         "current": feed.is_current,
         "reader": feed.is_reader,
-        "revision": tick.revision if tick else None,
-        "age_s": tick.age_s if tick else None,
+        "revision": status.revision if status else None,
+        "age_s": status.age_s if status else None,
     }
 
 
@@ -154,7 +154,7 @@
         "cold_s": round(max(0.0, target.cold_until - now), 3),
         "suspected": target.suspected,
         "complaints": target.complaints,
-        "answered_s_ago": round(now - target.progress_at, 3),
+        "answered_s_ago": round(now - target.last_answer_at, 3),
         "flows": target.flows,
         "waiting": target.waiting,
     }
--- a/kumquatshift/adapters/http.py
+++ b/kumquatshift/adapters/http.py
@@ -6,7 +6,7 @@
 from twisted.web.client import ResponseFailed
 
 
-def limit(fut: Deferred, seconds: float, reactor) -> Deferred:
+def with_timeout(fut: Deferred, seconds: float, reactor) -> Deferred:
     """Make a call fail with `twisted.internet.defer.TimeoutError` after a time.
 
     The agent wraps the cancellation in errors of its own, which this replaces:
@@ -21,7 +21,7 @@
     return fut.addTimeout(seconds, reactor, late)
 
 
-def told(reason: Failure) -> str:
+def describe_failure(reason: Failure) -> str:
     """Return a short text for the failure of a call."""
     exc = reason.value
     if reason.check(defer.CancelledError):
--- a/kumquatshift/adapters/http_call.py
+++ b/kumquatshift/adapters/http_client.py
@@ -45,7 +45,7 @@
     detail: str
 
 
-class HttpCaller(Descriptor):
+class HttpConnection(Descriptor):
     """Makes calls to one server, given as ``(host, port)``."""
 
     def __init__(self, reactor, address: tuple[str, int]):
--- a/kumquatshift/adapters/http_pages.py
+++ b/kumquatshift/adapters/http_server.py
@@ -31,14 +31,14 @@
 }
 
 
-class PageAnswer(NamedTuple):
+class PageResponse(NamedTuple):
     """The response of one page."""
 
     status: int
     body: bytes = b""
 
 
-Pages = dict[bytes, Callable[[bytes], PageAnswer]]
+Pages = dict[bytes, Callable[[bytes], PageResponse]]
 
 
 class PageServer(Descriptor):
@@ -71,11 +71,11 @@
         sock.setblocking(False)
         self._connections.add(_Connection(self._reactor, sock, self))
 
-    def answer(self, path: bytes) -> PageAnswer:
+    def answer(self, path: bytes) -> PageResponse:
         """Return the response of the page at ``path``; the page gets the query."""
         path, _, query = path.partition(b"?")
         page = self._pages.get(path)
-        return page(query) if page is not None else PageAnswer(404)
+        return page(query) if page is not None else PageResponse(404)
 
     def remove_connection(self, conn: _Connection) -> None:
         """Remove a connection that was closed."""
--- a/kumquatshift/adapters/neighbours.py
+++ b/kumquatshift/adapters/peer_service.py
@@ -5,21 +5,21 @@
 import time
 from typing import TYPE_CHECKING
 
-from ..direct.feed import Feed, Pace
+from ..direct.failure_detector import FailureDetector
+from ..direct.feed import Feed, FeedTiming
 from ..direct.lifecycle import Lifecycle
 from ..direct.members import (
-    ASK_ALONE_EVERY_S,
-    ASK_AT_S,
-    BEAT_S,
-    READER_BEAT_S,
-    Beat,
+    DISCOVERY_DELAYS_S,
+    DISCOVERY_RETRY_S,
+    HEARTBEAT_INTERVAL_S,
+    READER_HEARTBEAT_INTERVAL_S,
     Member,
     Members,
+    PeerHeartbeat,
 )
-from ..direct.news import Handout, News
-from ..direct.suspicion import Suspicion
-from ..direct.warmup import UNSETTLED_ENTRIES, Warmup
-from .http_pages import BUSY_STATUS, PageAnswer, PageServer
+from ..direct.peer_updates import PeerSelector, TransferLimiter
+from ..direct.warmup import ASSUMED_DOMAIN_ENTRIES, Warmup
+from .http_server import BUSY_STATUS, PageResponse, PageServer
 from .peers import NEWS_PATH, HeartbeatPort, NewsCodec
 
 # Entries that start at the same time have heard each other after this time.
@@ -42,7 +42,7 @@
             ...
 
 
-class Neighbours:
+class PeerService:
     """Exchanges heartbeats, members and news with the other entries.
 
     Heartbeats and member queries go over UDP; a page on the same address
@@ -53,22 +53,22 @@
         self,
         reactor,
         members: Members,
-        suspicion: Suspicion,
+        failure_detector: FailureDetector,
         feeds: dict[str, Feed],
         warmup: Warmup,
         lifecycle: Lifecycle,
-        handout: Handout,
+        transfer_limiter: TransferLimiter,
     ):
         self._readers: dict[str, NewsReader] = {}
         self._codec = NewsCodec()
         self._started_at = reactor.seconds()
         self._reactor = reactor
         self._members = members
-        self._suspicion = suspicion
+        self._failure_detector = failure_detector
         self._feeds = feeds
         self._warmup = warmup
         self._lifecycle = lifecycle
-        self._handout = handout
+        self._transfer_limiter = transfer_limiter
         self._incarnation = time.time_ns()
         self._announced_state: tuple = ()
         self._heartbeat_timer = None
@@ -82,16 +82,16 @@
             address,
             self._on_heartbeat,
             self._answer_member_query,
-            self._members.hear_of,
+            self._members.add_candidates,
         )
         PageServer(self._reactor, address, {NEWS_PATH: self._news_page})
-        for after_s in ASK_AT_S:
+        for after_s in DISCOVERY_DELAYS_S:
             self._reactor.callLater(after_s, self._query_seeds)
-        self._reactor.callLater(ASK_ALONE_EVERY_S, self._query_seeds_while_alone)
+        self._reactor.callLater(DISCOVERY_RETRY_S, self._query_seeds_while_alone)
         self._send_heartbeat()
 
     def follow(
-        self, feeds: dict[str, Feed], readers: dict[str, NewsReader], pace: Pace
+        self, feeds: dict[str, Feed], readers: dict[str, NewsReader], timing: FeedTiming
     ) -> None:
         """Let feeds fetch news from other entries.
 
@@ -100,7 +100,9 @@
         self._feeds = feeds
         self._codec = NewsCodec()
         for kind, feed in feeds.items():
-            feed.follow(self._members, News(kind, pace.fresh_s, self._members))
+            feed.follow(
+                self._members, PeerSelector(kind, timing.fresh_s, self._members)
+            )
         for reader in readers.values():
             reader.codec = self._codec
         self._readers = readers
@@ -109,7 +111,7 @@
         """Return the names of the live entries of the domain, this one included."""
         return self._members.names()
 
-    def beat_now(self) -> None:
+    def send_heartbeat_now(self) -> None:
         """Send the next heartbeat without waiting for its interval."""
         if self._heartbeat_timer is not None and self._heartbeat_timer.active():
             self._heartbeat_timer.cancel()
@@ -120,7 +122,7 @@
     def check(self) -> None:
         """Send a heartbeat if its urgent part has changed since the last one."""
         if self._urgent_state() != self._announced_state:
-            self.beat_now()
+            self.send_heartbeat_now()
 
     def _send_heartbeat(self) -> None:
         now = self._reactor.seconds()
@@ -128,28 +130,28 @@
         names = self._members.names()
         is_discovery_over = now - self._started_at > DISCOVERY_S
         self._warmup.entries = max(
-            len(names), 1 if is_discovery_over else UNSETTLED_ENTRIES
+            len(names), 1 if is_discovery_over else ASSUMED_DOMAIN_ENTRIES
         )
         self._warmup.rank = names.index(self._members.me.name)
         self._announced_state = self._urgent_state()
         self._port.send_heartbeat(self._build_heartbeat(now), self._members.addresses())
         is_reader_here = any(feed.is_reader for feed in self._feeds.values())
-        wait_s = READER_BEAT_S if is_reader_here else BEAT_S
+        wait_s = READER_HEARTBEAT_INTERVAL_S if is_reader_here else HEARTBEAT_INTERVAL_S
         self._heartbeat_timer = self._reactor.callLater(wait_s, self._send_heartbeat)
 
-    def _build_heartbeat(self, now: float) -> Beat:
-        ticks = [feed.tick(now) for feed in self._feeds.values()]
+    def _build_heartbeat(self, now: float) -> PeerHeartbeat:
+        statuses = [feed.status(now) for feed in self._feeds.values()]
         me = self._members.me
-        return Beat(
+        return PeerHeartbeat(
             me.name,
             me.domain,
             me.address,
             self._incarnation,
             self._lifecycle.is_stopping,
             all(feed.reaches_store(now) for feed in self._feeds.values()),
-            tuple(tick for tick in ticks if tick is not None),
-            self._suspicion.suspects(now),
-            self._suspicion.objections(now),
+            tuple(status for status in statuses if status is not None),
+            self._failure_detector.suspects(now),
+            self._failure_detector.refutations(now),
         )
 
     def _urgent_state(self) -> tuple:
@@ -157,51 +159,51 @@
         now = self._reactor.seconds()
         return (
             tuple(feed.changed for feed in self._feeds.values()),
-            {(s.name, s.complaints) for s in self._suspicion.suspects(now)},
-            {objection.name for objection in self._suspicion.objections(now)},
+            {(s.name, s.complaints) for s in self._failure_detector.suspects(now)},
+            {objection.name for objection in self._failure_detector.refutations(now)},
         )
 
-    def _on_heartbeat(self, beat: Beat) -> None:
+    def _on_heartbeat(self, beat: PeerHeartbeat) -> None:
         now = self._reactor.seconds()
-        self._members.hear(beat, now)
+        self._members.receive_heartbeat(beat, now)
         if beat.domain != self._members.me.domain:
             return
         for suspect in beat.suspects:
-            self._suspicion.hear_suspect(suspect, beat.name, now)
-        for answering in beat.objections:
-            self._suspicion.hear_answering(answering, now)
+            self._failure_detector.receive_suspect(suspect, beat.name, now)
+        for refutation in beat.refutations:
+            self._failure_detector.receive_refutation(refutation, now)
         self.check()
-        for tick in beat.ticks:
-            reader = self._readers.get(tick.kind)
-            if reader is not None and self._feeds[tick.kind].lacks(tick):
+        for status in beat.statuses:
+            reader = self._readers.get(status.kind)
+            if reader is not None and self._feeds[status.kind].lacks(status):
                 reader.wake()
 
     def _answer_member_query(self, sender: Member) -> tuple[Member, ...]:
         """Return the live entries of the domain of the entry that queries."""
         known = (*self._members.domain_members(sender.domain), self._members.me)
-        self._members.note_asking(sender, self._reactor.seconds())
+        self._members.note_query(sender, self._reactor.seconds())
         return tuple(m for m in known if m.domain == sender.domain)
 
     def _query_seeds(self) -> None:
         self._port.send_member_query(self._members.me, self._members.seeds())
 
     def _query_seeds_while_alone(self) -> None:
-        self._members.forget_named()
+        self._members.drop_candidates()
         if not self._members.peers():
             self._query_seeds()
-        self._reactor.callLater(ASK_ALONE_EVERY_S, self._query_seeds_while_alone)
+        self._reactor.callLater(DISCOVERY_RETRY_S, self._query_seeds_while_alone)
 
-    def _news_page(self, query: bytes) -> PageAnswer:
+    def _news_page(self, query: bytes) -> PageResponse:
         try:
             kind, since = self._codec.parse_query(query)
         except ValueError:
-            return PageAnswer(404)
+            return PageResponse(404)
         now = self._reactor.seconds()
         feed = self._feeds.get(kind)
-        news = feed and feed.news_since(since, now)
+        news = feed and feed.updates_since(since, now)
         if news is None:
-            return PageAnswer(503)
+            return PageResponse(503)
         body = self._codec.encode(news, since)
-        if not self._handout.admits(len(body), now):
-            return PageAnswer(BUSY_STATUS)
-        return PageAnswer(200, body)
+        if not self._transfer_limiter.admits(len(body), now):
+            return PageResponse(BUSY_STATUS)
+        return PageResponse(200, body)
--- a/kumquatshift/adapters/peers.py
+++ b/kumquatshift/adapters/peers.py
@@ -10,9 +10,9 @@
 import zlib
 from collections.abc import Callable
 
-from ..direct.calls import Change, Item, NewsAnswer, Tick
-from ..direct.members import Beat, Member
-from ..direct.suspicion import Answering, Suspect
+from ..direct.calls import Change, FeedStatus, Item, PeerUpdate
+from ..direct.failure_detector import Refutation, Suspect
+from ..direct.members import Member, PeerHeartbeat
 from .epoll import Descriptor
 
 NEWS_PATH = b"/news"
@@ -37,7 +37,7 @@
         self,
         reactor,
         address: tuple[str, int],
-        on_heartbeat: Callable[[Beat], None],
+        on_heartbeat: Callable[[PeerHeartbeat], None],
         on_member_query: Callable[[Member], tuple[Member, ...]],
         on_members: Callable[[tuple[Member, ...]], None],
     ):
@@ -55,7 +55,9 @@
         """Return the descriptor of the socket."""
         return self._sock.fileno()
 
-    def send_heartbeat(self, beat: Beat, addresses: list[tuple[str, int]]) -> None:
+    def send_heartbeat(
+        self, beat: PeerHeartbeat, addresses: list[tuple[str, int]]
+    ) -> None:
         """Send a heartbeat to each address."""
         data = json.dumps({"beat": beat}).encode()
         for address in addresses:
@@ -123,10 +125,10 @@
         kind, _, since = query.decode().partition("&")
         return kind, int(since)
 
-    def encode(self, news: NewsAnswer, since: int) -> bytes:
+    def encode(self, news: PeerUpdate, since: int) -> bytes:
         """Encode an answer for a follower that knows all changes up to ``since``."""
-        tick = news.tick
-        key = tick.kind, news.is_whole, since, tick.since, tick.changed
+        status = news.status
+        key = status.kind, news.is_snapshot, since, status.since, status.changed
         body = self._encoded.get(key)
         if body is None:
             text = json.dumps(news[:3]).encode()
@@ -134,18 +136,18 @@
             if len(self._encoded) >= MAX_CACHED_ANSWERS:
                 del self._encoded[next(iter(self._encoded))]
             self._encoded[key] = body
-        return json.dumps(tick).encode() + b"\n" + body
+        return json.dumps(status).encode() + b"\n" + body
 
-    def decode(self, body: bytes) -> NewsAnswer:
+    def decode(self, body: bytes) -> PeerUpdate:
         """Decode an answer; raises `UnreadableNewsError`."""
         try:
-            tick, _, rest = body.partition(b"\n")
-            is_whole, items, changes = json.loads(_inflate(rest))
-            return NewsAnswer(
-                bool(is_whole),
+            status, _, rest = body.partition(b"\n")
+            is_snapshot, items, changes = json.loads(_inflate(rest))
+            return PeerUpdate(
+                bool(is_snapshot),
                 tuple(_parse_item(each) for each in items),
                 tuple(Change(_parse_item(item), bool(gone)) for item, gone in changes),
-                _parse_tick(json.loads(tick)),
+                _parse_tick(json.loads(status)),
             )
         except (ValueError, TypeError, IndexError, zlib.error) as exc:
             raise UnreadableNewsError(f"cannot decode news: {exc!r}") from exc
@@ -159,24 +161,24 @@
     return text
 
 
-def _parse_heartbeat(wire: list) -> Beat:
+def _parse_heartbeat(wire: list) -> PeerHeartbeat:
     name, domain, address, incarnation, leaving, reaches, *lists = wire
-    ticks, suspects, objections = lists
-    return Beat(
+    statuses, suspects, refutations = lists
+    return PeerHeartbeat(
         str(name),
         str(domain),
         _parse_address(address),
         int(incarnation),
         bool(leaving),
         bool(reaches),
-        tuple(_parse_tick(each) for each in ticks),
+        tuple(_parse_tick(each) for each in statuses),
         tuple(
             Suspect(str(name), int(start), int(complaints), float(silent_s))
             for name, start, complaints, silent_s in suspects
         ),
         tuple(
-            Answering(str(name), int(start), float(ago_s))
-            for name, start, ago_s in objections
+            Refutation(str(name), int(start), float(ago_s))
+            for name, start, ago_s in refutations
         ),
     )
 
@@ -192,10 +194,12 @@
     return str(host), int(port)
 
 
-def _parse_tick(wire: list) -> Tick:
+def _parse_tick(wire: list) -> FeedStatus:
     kind, is_reader, *revisions, age_s = wire
     since, changed, revision = (int(each) for each in revisions)
-    return Tick(str(kind), bool(is_reader), since, changed, revision, float(age_s))
+    return FeedStatus(
+        str(kind), bool(is_reader), since, changed, revision, float(age_s)
+    )
 
 
 def _parse_item(wire: list) -> Item:
--- a/kumquatshift/adapters/platform.py
+++ b/kumquatshift/adapters/platform.py
@@ -16,7 +16,7 @@
 from ..logs import Part, logger_for
 from ..settings.common import PlatformSection
 from ..tls import platform_agent
-from .http import limit, told
+from .http import describe_failure, with_timeout
 from .platform_answers import (
     Reply,
     parse,
@@ -131,7 +131,7 @@
             **body,
         )
         fut.addCallback(_read_reply)
-        return limit(fut, self._cfg.timeout_s, self._reactor)
+        return with_timeout(fut, self._cfg.timeout_s, self._reactor)
 
     def _read_result(self, fut, read, *args):
         """Convert the reply, or its absence, to a result; never fires an errback."""
@@ -147,13 +147,13 @@
         if reason.check(defer.TimeoutError):
             text = f"the platform did not answer within {self._cfg.timeout_s:g} s"
             return result.Failure(Failure(ErrorKind.TIMEOUT, text, self._remedy()))
-        text = f"the platform is unreachable: {told(reason)}"
+        text = f"the platform is unreachable: {describe_failure(reason)}"
         return result.Failure(Failure(ErrorKind.UNAVAILABLE, text, self._remedy()))
 
     def _write_failed(self, reason):
         if reason.check(ConnectError):
             return self._read_failed(reason)
-        text = f"the answer to the write was lost: {told(reason)}"
+        text = f"the answer to the write was lost: {describe_failure(reason)}"
         remedy = "read the object back and compare its operation id"
         return result.Failure(Failure(ErrorKind.OUTCOME_UNKNOWN, text, remedy))
 
--- a/kumquatshift/adapters/platform_answers.py
+++ b/kumquatshift/adapters/platform_answers.py
@@ -103,12 +103,12 @@
 
 def _conflict(reply, kind, name, version):
     obj = object_from_json(reply.value)
-    standing = obj.unwrap() if is_successful(obj) else None
-    live = standing is not None and standing.body is not None
-    found = f"version {standing.version}" if live else "nothing"
+    current = obj.unwrap() if is_successful(obj) else None
+    live = current is not None and current.body is not None
+    found = f"version {current.version}" if live else "nothing"
     text = f"{kind}/{name}: expected version {version}, but found {found}"
     remedy = f"show it with: kumquat-ctl {kind} show {name}"
-    return Conflict(ErrorKind.CONFLICT, text, remedy, standing)
+    return Conflict(ErrorKind.CONFLICT, text, remedy, current)
 
 
 def read_vms(reply: Reply) -> Result[tuple[Vm, ...], Failure]:
--- a/kumquatshift/adapters/platform_stream.py
+++ b/kumquatshift/adapters/platform_stream.py
@@ -7,7 +7,7 @@
 
 from ..errors import ErrorKind, Failure
 from ..platform_port import Expired, Progress
-from .http import told
+from .http import describe_failure
 from .platform_answers import decode_or_skip
 
 MAX_LINE_BYTES = 2 * 1024 * 1024
@@ -49,7 +49,11 @@
 
     def connectionLost(self, reason):  # noqa: N802
         """Report the end of the watch."""
-        self._end(Failure(ErrorKind.UNAVAILABLE, f"the watch ended: {told(reason)}"))
+        self._end(
+            Failure(
+                ErrorKind.UNAVAILABLE, f"the watch ended: {describe_failure(reason)}"
+            )
+        )
 
     def _on_response(self, response):
         if self._stopped:
@@ -62,7 +66,10 @@
 
     def _on_request_failed(self, reason):
         self._end(
-            Failure(ErrorKind.UNAVAILABLE, f"cannot open the watch: {told(reason)}")
+            Failure(
+                ErrorKind.UNAVAILABLE,
+                f"cannot open the watch: {describe_failure(reason)}",
+            )
         )
 
     def _end(self, failure):
--- a/kumquatshift/cli/entries.py
+++ b/kumquatshift/cli/entries.py
@@ -8,7 +8,7 @@
 from treq.client import HTTPClient
 from twisted.internet.defer import Deferred, gatherResults
 
-from ..adapters.http import limit, told
+from ..adapters.http import describe_failure, with_timeout
 from ..errors import ErrorKind, Failure
 from ..settings.common import TlsSection
 from ..tls import entry_agent
@@ -48,7 +48,7 @@
         url = f"{self._scheme}://{entry.address}:{self._port}{path}"
         fut = self._http.get(url, reactor=self._reactor)
         fut.addCallback(_read)
-        limit(fut, CALL_TIMEOUT_S, self._reactor)
+        with_timeout(fut, CALL_TIMEOUT_S, self._reactor)
         return fut.addErrback(_unreachable, entry, url)
 
 
@@ -72,6 +72,6 @@
 
 
 def _unreachable(reason, entry, url):
-    text = f"entry {entry.name} is unreachable at {url}: {told(reason)}"
+    text = f"entry {entry.name} is unreachable at {url}: {describe_failure(reason)}"
     remedy = "check that its VM is running and that its domain is reachable"
     return result.Failure(Failure(ErrorKind.UNAVAILABLE, text, remedy))
--- a/kumquatshift/cli/files.py
+++ b/kumquatshift/cli/files.py
@@ -31,7 +31,7 @@
 )
 from ..engine.objects import Body, Kind, Versioned
 from ..errors import ErrorKind, Failure
-from ..fields import Invalid, Mistake, nearest, shown
+from ..fields import FieldError, Invalid, format_value, suggest_nearest
 
 NO_DEFAULT_SECTION = "\n"
 
@@ -82,7 +82,7 @@
     mistakes += _check_duplicates(raw_objects)
     if not raw_objects:
         allowed = "allowed: sections such as [target t1]"
-        mistakes.append(Mistake("file", "objects", "none", allowed))
+        mistakes.append(FieldError("file", "objects", "none", allowed))
     if mistakes:
         return result.Failure(bad_input(mistakes))
     return Success(tuple(desired))
@@ -133,7 +133,9 @@
 
 def _raw_object(item):
     if not isinstance(item, Mapping):
-        raise ValueError(f"found {shown(item)}; allowed: an object with kind and name")
+        raise ValueError(
+            f"found {format_value(item)}; allowed: an object with kind and name"
+        )
     fields = item.get("body")
     if isinstance(fields, Mapping) and "version" in item:
         fields = {**fields, "version": item["version"]}
@@ -143,15 +145,15 @@
 def _check_kind(raw, kind):
     subject_name = subject(raw.kind, raw.name)
     if raw.kind not in list(Kind):
-        hint = nearest(raw.kind, list(Kind))
+        hint = suggest_nearest(raw.kind, list(Kind))
         allowed = f"no such kind of object; {hint}; write [KIND NAME]"
-        return [Mistake(subject_name, "kind", shown(raw.kind), allowed)]
+        return [FieldError(subject_name, "kind", format_value(raw.kind), allowed)]
     if not raw.name:
         allowed = "allowed: a name after the kind; write [KIND NAME]"
-        return [Mistake(subject_name, "name", "nothing", allowed)]
+        return [FieldError(subject_name, "name", "nothing", allowed)]
     if kind is not None and raw.kind != kind:
         allowed = f"allowed: {kind}; for all kinds use: kumquat-ctl apply FILE"
-        return [Mistake(subject_name, "kind", shown(raw.kind), allowed)]
+        return [FieldError(subject_name, "kind", format_value(raw.kind), allowed)]
     return []
 
 
@@ -178,7 +180,7 @@
     except Invalid:
         subject_name = subject(raw.kind, raw.name)
         allowed = REQUIRED_VERSION.allowed
-        return None, [Mistake(subject_name, "version", shown(value), allowed)]
+        return None, [FieldError(subject_name, "version", format_value(value), allowed)]
 
 
 def _check_duplicates(raw_objects):
@@ -188,7 +190,7 @@
         if key in seen:
             subject_name = subject(raw.kind, raw.name)
             mistakes.append(
-                Mistake(
+                FieldError(
                     subject_name,
                     "name",
                     "a duplicate",
--- a/kumquatshift/cli/printing.py
+++ b/kumquatshift/cli/printing.py
@@ -7,7 +7,7 @@
 from ..codec import object_to_json
 from ..context import Environment
 from ..engine.objects import Versioned
-from ..errors import ANSWERS, Failure
+from ..errors import ERROR_CODES, Failure
 from ..status import ExitStatus
 from . import report
 from .constants import PROGRAM
@@ -27,7 +27,7 @@
         self._env.stderr.write(f"{PROGRAM}: {failure.kind}: {failure.message}\n")
         if failure.remedy:
             self._env.stderr.write(f"  remedy: {failure.remedy}\n")
-        return ANSWERS[failure.kind].exit_status
+        return ERROR_CODES[failure.kind].exit_status
 
     def notes(self, notes: Sequence[str]) -> None:
         """Print the notes on a change to the error stream."""
--- a/kumquatshift/cli/writer.py
+++ b/kumquatshift/cli/writer.py
@@ -67,7 +67,7 @@
         if failure.kind in UNKNOWN_OUTCOME_KINDS:
             return await self._resolve_outcome(change, operation)
         if isinstance(failure, Conflict):
-            failure = conflict(change, failure.standing)
+            failure = conflict(change, failure.current)
         return result.Failure(failure)
 
     async def _resolve_outcome(self, change, operation):
@@ -79,7 +79,7 @@
                 return Success(WriteResult(answer.unwrap().version, operation, True))
             failure = answer.failure()
             if isinstance(failure, Conflict):
-                return await self._resolve_conflict(change, operation, failure.standing)
+                return await self._resolve_conflict(change, operation, failure.current)
         return result.Failure(_outcome_unknown(change, operation))
 
     def _send(self, change, operation):
@@ -98,16 +98,16 @@
             return found
         return await self._send(change, operation)
 
-    async def _resolve_conflict(self, change, operation, standing):
+    async def _resolve_conflict(self, change, operation, current):
         """Distinguish a conflict with another write from one with our own."""
-        if standing is not None and standing.operation == operation:
-            return Success(WriteResult(standing.version, operation, True))
-        up_to_version = standing.version if standing else 0
+        if current is not None and current.operation == operation:
+            return Success(WriteResult(current.version, operation, True))
+        up_to_version = current.version if current else 0
         for _ in range(READ_BACK_TRIES):
             own_write = await self._find_in_history(change, operation, up_to_version)
             if own_write is not OWN_WRITE_UNKNOWN:
                 break
-        return result.Failure(conflict(change, standing, own_write))
+        return result.Failure(conflict(change, current, own_write))
 
     async def _find_in_history(self, change, operation, up_to_version):
         """Return a message on whether our write is among the changes since our read."""
@@ -135,12 +135,12 @@
 
 
 def conflict(
-    change: Change, standing: Versioned | None, own_write: str = "nothing was written"
+    change: Change, current: Versioned | None, own_write: str = "nothing was written"
 ) -> Conflict:
     """Return a conflict that describes the other write, field by field."""
-    text = f"{change.subject}: {_describe_change(change, standing)}; {own_write}"
+    text = f"{change.subject}: {_describe_change(change, current)}; {own_write}"
     remedy = f"show it with: kumquat-ctl {change.kind} show {change.name}"
-    return Conflict(ErrorKind.CONFLICT, text, remedy, standing)
+    return Conflict(ErrorKind.CONFLICT, text, remedy, current)
 
 
 def _own_write_missing(change):
@@ -153,15 +153,15 @@
     return "your write did not take effect" if change.version else OWN_WRITE_PENDING
 
 
-def _describe_change(change, standing):
-    if standing is None or standing.body is None:
-        by = f" by operation {standing.operation}" if standing else ""
+def _describe_change(change, current):
+    if current is None or current.body is None:
+        by = f" by operation {current.operation}" if current else ""
         return f"it was removed by another{by}, after you read version {change.version}"
     before = change.before.body if change.before else None
-    fields = "; ".join(str(diff) for diff in differences(before, standing.body))
-    operation = standing.operation or "unnamed"
+    fields = "; ".join(str(diff) for diff in differences(before, current.body))
+    operation = current.operation or "unnamed"
     return (
-        f"another change came first, version {standing.version}"
+        f"another change came first, version {current.version}"
         f" by operation {operation}: {fields or 'no field differs'}"
     )
 
--- a/kumquatshift/codec.py
+++ b/kumquatshift/codec.py
@@ -34,13 +34,13 @@
     Address,
     Check,
     Choice,
+    FieldError,
+    Integer,
     Invalid,
-    Mistake,
     Name,
     Number,
-    Whole,
-    nearest,
-    shown,
+    format_value,
+    suggest_nearest,
 )
 
 MIN_TIMEOUT_S = 0.1
@@ -52,9 +52,9 @@
 
 TIMEOUT = Number(MIN_TIMEOUT_S, MAX_TIMEOUT_S, "seconds")
 SHARE = Number(0.0, 1.0)
-PORT = Whole(1, 65535)
-VERSION = Whole(0, MAX_VERSION)
-REQUIRED_VERSION = Whole(1, MAX_VERSION)
+PORT = Integer(1, 65535)
+VERSION = Integer(0, MAX_VERSION)
+REQUIRED_VERSION = Integer(1, MAX_VERSION)
 
 TYPES: dict[Kind, type] = {
     Kind.PROFILE: Profile,
@@ -86,8 +86,8 @@
         "domain": Name(),
         "host": Address(),
         "port": PORT,
-        "slots": Whole(1, MAX_SLOTS),
-        "connections": Whole(1, MAX_CONNECTIONS),
+        "slots": Integer(1, MAX_SLOTS),
+        "connections": Integer(1, MAX_CONNECTIONS),
         "state": Choice(TargetState),
     },
     Kind.DOMAIN: {"state": Choice(DomainState)},
@@ -102,7 +102,7 @@
     """A body, or the reasons why a value is not a valid body."""
 
     body: Body | None
-    mistakes: tuple[Mistake, ...]
+    mistakes: tuple[FieldError, ...]
 
 
 def kind_of(body: Body) -> Kind:
@@ -127,10 +127,10 @@
     object_id = subject(kind, name)
     mistakes = []
     if not _is_valid(Name(), name):
-        mistakes.append(Mistake(object_id, "name", shown(name), Name.allowed))
+        mistakes.append(FieldError(object_id, "name", format_value(name), Name.allowed))
     if not isinstance(value, Mapping):
         wanted = "allowed: an object with the fields " + ", ".join(FIELDS[kind])
-        mistakes.append(Mistake(object_id, "body", shown(value), wanted))
+        mistakes.append(FieldError(object_id, "body", format_value(value), wanted))
         return Decoded(None, tuple(mistakes))
     fields, wrong = _read_fields(kind, object_id, name, value)
     mistakes += wrong
@@ -179,7 +179,7 @@
     """Decode an object from a JSON value of the platform's API."""
     if not isinstance(value, Mapping):
         wanted = "allowed: an object with the fields " + ", ".join(ENVELOPE)
-        mistake = Mistake("object", "value", shown(value), wanted)
+        mistake = FieldError("object", "value", format_value(value), wanted)
         return result.Failure(bad_input((mistake,)))
     mistakes = _check_envelope(value)
     if mistakes:
@@ -228,19 +228,25 @@
         if key == "name":
             if found != name:
                 allowed = f"allowed: {name}, the name of the object, or nothing"
-                mistakes.append(Mistake(object_id, "name", shown(found), allowed))
+                mistakes.append(
+                    FieldError(object_id, "name", format_value(found), allowed)
+                )
             continue
         if key not in checks:
-            allowed = "no such field; " + nearest(str(key), checks)
-            mistakes.append(Mistake(object_id, str(key), shown(found), allowed))
+            allowed = "no such field; " + suggest_nearest(str(key), checks)
+            mistakes.append(
+                FieldError(object_id, str(key), format_value(found), allowed)
+            )
             continue
         try:
             fields[key] = checks[key].read(found)
         except Invalid:
-            mistakes.append(Mistake(object_id, key, shown(found), checks[key].allowed))
+            mistakes.append(
+                FieldError(object_id, key, format_value(found), checks[key].allowed)
+            )
     for key in _required(kind):
         if key not in value:
-            mistakes.append(Mistake(object_id, key, "nothing", checks[key].allowed))
+            mistakes.append(FieldError(object_id, key, "nothing", checks[key].allowed))
     return fields, mistakes
 
 
@@ -263,7 +269,7 @@
             allowed = (
                 f"allowed: at most idle_timeout_s, {body.idle_timeout_s:g} seconds"
             )
-            mistakes.append(Mistake(object_id, key, f"{limit:g}", allowed))
+            mistakes.append(FieldError(object_id, key, f"{limit:g}", allowed))
     return mistakes
 
 
@@ -276,13 +282,15 @@
     for key, check in checks.items():
         if not _is_valid(check, value.get(key)):
             mistakes.append(
-                Mistake(object_id, key, shown(value.get(key)), check.allowed)
+                FieldError(object_id, key, format_value(value.get(key)), check.allowed)
             )
     operation = value.get("operation", "")
     if not isinstance(operation, str) or len(operation) > MAX_OPERATION_LENGTH:
         allowed = f"allowed: text of at most {MAX_OPERATION_LENGTH} characters"
-        mistakes.append(Mistake(object_id, "operation", shown(operation), allowed))
+        mistakes.append(
+            FieldError(object_id, "operation", format_value(operation), allowed)
+        )
     if not isinstance(value.get("deleted", False), bool):
-        found = shown(value["deleted"])
-        mistakes.append(Mistake(object_id, "deleted", found, "allowed: true, false"))
+        found = format_value(value["deleted"])
+        mistakes.append(FieldError(object_id, "deleted", found, "allowed: true, false"))
     return mistakes
--- a/kumquatshift/consistency.py
+++ b/kumquatshift/consistency.py
@@ -16,7 +16,7 @@
     TargetState,
 )
 from .errors import ErrorKind, Failure
-from .fields import Mistake, nearest
+from .fields import FieldError, suggest_nearest
 
 Key = tuple[Kind, str]
 
@@ -26,7 +26,7 @@
     return kind_of(body), body.name
 
 
-def find_mistakes(bodies: Iterable[Body]) -> list[Mistake]:
+def find_mistakes(bodies: Iterable[Body]) -> list[FieldError]:
     """Return all missing references and duplicates of a whole configuration."""
     bodies = sorted(bodies, key=key_of)
     names = {kind: {b.name for b in bodies if kind_of(b) is kind} for kind in Kind}
@@ -102,9 +102,11 @@
     mistakes = []
     for field, (kind, name) in references(body).items():
         if name not in names[kind]:
-            hint = nearest(name, names[kind]) if names[kind] else "none exists yet"
+            hint = (
+                suggest_nearest(name, names[kind]) if names[kind] else "none exists yet"
+            )
             allowed = f"there is no {kind} of that name; {hint}"
-            mistakes.append(Mistake(object_id, field, repr(name), allowed))
+            mistakes.append(FieldError(object_id, field, repr(name), allowed))
     return mistakes
 
 
@@ -119,5 +121,5 @@
             object_id = subject(kind_of(body), body.name)
             found = ", ".join(str(part) for part in place)
             allowed = f"already used by {subject(kind_of(body), other.name)}"
-            mistakes.append(Mistake(object_id, "/".join(fields), found, allowed))
+            mistakes.append(FieldError(object_id, "/".join(fields), found, allowed))
     return mistakes
--- a/kumquatshift/direct/calls.py
+++ b/kumquatshift/direct/calls.py
@@ -22,7 +22,7 @@
     timeout_s: float
 
 
-class NewsCall(NamedTuple):
+class PeerUpdateCall(NamedTuple):
     """Request a peer's changes after revision ``since``; -1 for all objects."""
 
     kind: str
@@ -61,7 +61,7 @@
     revision: int
 
 
-class Tick(NamedTuple):
+class FeedStatus(NamedTuple):
     """Synchronisation status of an entry for one kind of object.
 
     All changes up to ``revision`` are known. ``changed`` is the revision of the
@@ -77,13 +77,13 @@
     age_s: float
 
 
-class NewsAnswer(NamedTuple):
+class PeerUpdate(NamedTuple):
     """Response of a peer: all items, or the requested changes."""
 
-    is_whole: bool
+    is_snapshot: bool
     items: tuple[Item, ...]
     changes: tuple[Change, ...]
-    tick: Tick
+    status: FeedStatus
 
 
 class Failure:
--- a/kumquatshift/direct/suspicion.py
+++ b/kumquatshift/direct/failure_detector.py
@@ -71,7 +71,7 @@
     silent_s: float
 
 
-class Answering(NamedTuple):
+class Refutation(NamedTuple):
     """A target incarnation that answers, although another entry suspects it."""
 
     name: str
@@ -79,7 +79,7 @@
     answered_s_ago: float
 
 
-class Suspicion:
+class FailureDetector:
     """Tracks which targets one entry considers unresponsive."""
 
     def __init__(self, targets: TargetTable, events: EventSink):
@@ -87,7 +87,7 @@
         self._events = events
         self._last_answer_at = float("-inf")
         self._last_delivery_at = float("-inf")
-        self._objections: dict[LiveTarget, float] = {}
+        self._refutations: dict[LiveTarget, float] = {}
         # These hold only affected targets, so they stay small on large sites.
         self._suspected: set[LiveTarget] = set()
         self._complaint_times: dict[LiveTarget, float] = {}
@@ -123,13 +123,13 @@
             flow.stalled_since = flow.sent_at
         flow.repeats += 1
         target = flow.target
-        if flow.stalled_since < target.progress_at - SILENCE_THRESHOLD_S:
+        if flow.stalled_since < target.last_answer_at - SILENCE_THRESHOLD_S:
             # The target has answered other flows since; only this one is stalled.
             return
         if not flow.is_stalled:
             flow.is_stalled = True
             if not target.complaints:
-                target.silent_since = max(flow.stalled_since, target.progress_at)
+                target.silent_since = max(flow.stalled_since, target.last_answer_at)
             target.complaints += 1
             self._note_complaint(target, now)
         if self._is_silent(target, flow, now):
@@ -158,7 +158,7 @@
         complaints = target.complaints + sum(target.peer_complaints.values())
         if complaints < MIN_STALLED_FLOWS:
             return False
-        silent_s = now - max(target.progress_at, target.silent_since)
+        silent_s = now - max(target.last_answer_at, target.silent_since)
         return silent_s > DEAD_AFTER_S and self._is_probed(target, now)
 
     def suspected(self) -> set[LiveTarget]:
@@ -168,45 +168,47 @@
     def suspects(self, now: float) -> tuple[Suspect, ...]:
         """Return the suspicions based on this entry's own observations."""
         return tuple(
-            Suspect(t.name, t.incarnation, t.complaints, round(now - t.progress_at, 3))
+            Suspect(
+                t.name, t.incarnation, t.complaints, round(now - t.last_answer_at, 3)
+            )
             for t in self._suspected
             if t.listed and t.complaints and self._link_works_since(t.silent_since)
         )
 
-    def objections(self, now: float) -> tuple[Answering, ...]:
+    def refutations(self, now: float) -> tuple[Refutation, ...]:
         """Return the targets that peers suspect but that answer this entry."""
-        for target, since in list(self._objections.items()):
+        for target, since in list(self._refutations.items()):
             if now - since > REFUTATION_REPEAT_S or target.suspected:
-                del self._objections[target]
+                del self._refutations[target]
         return tuple(
-            Answering(t.name, t.incarnation, round(now - t.progress_at, 3))
-            for t in self._objections
+            Refutation(t.name, t.incarnation, round(now - t.last_answer_at, 3))
+            for t in self._refutations
         )
 
-    def hear_suspect(self, suspect: Suspect, source: str, now: float) -> None:
+    def receive_suspect(self, suspect: Suspect, source: str, now: float) -> None:
         """Adopt a peer's suspicion, or refute it if the target answers here."""
         target = self._find(suspect.name, suspect.incarnation)
         if target is None:
             return
-        answered_s_ago = now - target.progress_at
+        answered_s_ago = now - target.last_answer_at
         if not target.complaints and answered_s_ago < min(
             suspect.silent_s, REFUTATION_REPEAT_S
         ):
-            self._objections.setdefault(target, now)
+            self._refutations.setdefault(target, now)
             return
         target.peer_complaints[source] = suspect.complaints
         if not target.suspected:
-            target.silent_since = max(now - suspect.silent_s, target.progress_at)
+            target.silent_since = max(now - suspect.silent_s, target.last_answer_at)
             self._suspect(target, now, source=source)
 
-    def hear_answering(self, answering: Answering, now: float) -> None:
+    def receive_refutation(self, refutation: Refutation, now: float) -> None:
         """Process a peer's report that a target answers it."""
-        target = self._find(answering.name, answering.incarnation)
+        target = self._find(refutation.name, refutation.incarnation)
         if target is None:
             return
-        answered_at = now - answering.answered_s_ago
+        answered_at = now - refutation.answered_s_ago
         if answered_at > target.silent_since:
-            self._trust(target, max(answered_at, target.progress_at))
+            self._trust(target, max(answered_at, target.last_answer_at))
 
     def _link_works_since(self, silent_since: float) -> bool:
         """Return whether any target has answered packets sent since then."""
@@ -257,7 +259,7 @@
         if len(affected) < 2:
             return
         for target in affected:
-            self._trust(target, target.progress_at)
+            self._trust(target, target.last_answer_at)
 
     def _find(self, name: str, incarnation: int) -> LiveTarget | None:
         target = self._targets.get(name)
@@ -266,7 +268,7 @@
         return target
 
     def _is_silent(self, target: LiveTarget, flow: Flow, now: float) -> bool:
-        if target.suspected or now - target.progress_at < SILENCE_THRESHOLD_S:
+        if target.suspected or now - target.last_answer_at < SILENCE_THRESHOLD_S:
             return False
         several = target.complaints >= MIN_STALLED_FLOWS
         return several or flow.repeats >= MIN_FLOW_REPEATS
@@ -281,12 +283,12 @@
             Event.TARGET_SUSPECTED,
             target=target.name,
             domain=target.domain,
-            silent_s=round(now - target.progress_at, 3),
+            silent_s=round(now - target.last_answer_at, 3),
             **reason,
         )
 
     def _trust(self, target: LiveTarget, answered_at: float) -> None:
-        target.progress_at = answered_at
+        target.last_answer_at = answered_at
         target.complaints = 0
         if target.peer_complaints:
             target.peer_complaints.clear()
--- a/kumquatshift/direct/feed.py
+++ b/kumquatshift/direct/feed.py
@@ -16,12 +16,12 @@
     Change,
     Changes,
     Failure,
+    FeedStatus,
     Item,
     ListCall,
-    NewsAnswer,
-    NewsCall,
     Page,
-    Tick,
+    PeerUpdate,
+    PeerUpdateCall,
     WatchCall,
 )
 from .events import Event
@@ -32,22 +32,22 @@
 
     from .events import EventSink
     from .members import Members
-    from .news import News, Source
+    from .peer_updates import PeerSelector, Source
 
     class FeedListener(Protocol):
         """Receives the objects and changes that a feed reads."""
 
-        def take_list(
+        def handle_list(
             self, items: tuple[Item, ...], after_loss: bool, now: float
         ) -> None:
             """Process the full list; ``after_loss`` if the store was unreachable."""
             ...
 
-        def take_change(self, change: Change, now: float) -> None:
+        def handle_change(self, change: Change, now: float) -> None:
             """Process one change."""
             ...
 
-        def note_loss(self, now: float) -> None:
+        def handle_store_loss(self, now: float) -> None:
             """Process that the store was unreachable for the domain's readers."""
             ...
 
@@ -115,7 +115,7 @@
 WATCH_GRACE_S = 0.5
 
 
-class Pace(NamedTuple):
+class FeedTiming(NamedTuple):
     """Durations of watches and the allowed age of updates, all in seconds.
 
     ``watch_s`` applies to an entry that reads only for itself. A reader for the
@@ -128,7 +128,7 @@
     fresh_s: float = 2.4
 
     @classmethod
-    def from_bounds(cls, stable_window_s: float, shortest_s: float) -> Pace:
+    def from_bounds(cls, stable_window_s: float, shortest_s: float) -> FeedTiming:
         """Derive the durations from the shortest deadline for reacting to a change.
 
         A change must take effect within its deadline, or once the store has been
@@ -151,17 +151,17 @@
     """
 
     def __init__(
-        self, kind: str, pace: Pace, listener: FeedListener, events: EventSink
+        self, kind: str, timing: FeedTiming, listener: FeedListener, events: EventSink
     ):
         self.kind = kind
         self.is_current = False
         self.confirmed_at = 0.0
-        self._pace = pace
+        self._timing = timing
         self._listener = listener
         self._events = events
         self.on_update: Callable[[], None] | None = None
         self._members: Members | None = None
-        self._peers: News | None = None
+        self._peers: PeerSelector | None = None
         self.is_reader = False
         self._is_listed = False
         self._known_revision: int = -1
@@ -180,7 +180,7 @@
         self._busy_tries = 0
         self._busy_since = 0.0
 
-    def follow(self, members: Members, peers: News) -> None:
+    def follow(self, members: Members, peers: PeerSelector) -> None:
         """Read updates from other entries too."""
         self._members = members
         self._peers = peers
@@ -189,19 +189,19 @@
         """Return whether the store is presumed reachable from this entry."""
         return self._lost_at is None or now - self._failed_at > REFUSAL_TTL_S
 
-    def tick(self, now: float) -> Tick | None:
+    def status(self, now: float) -> FeedStatus | None:
         """Return the feed's revision and age, or None before its first list."""
         if self._known_revision < 0:
             return None
         age_s = round(now - self.confirmed_at, 3)
         since = self._history_from
-        return Tick(
+        return FeedStatus(
             self.kind, self.is_reader, since, self.changed, self._known_revision, age_s
         )
 
-    def lacks(self, tick: Tick) -> bool:
+    def lacks(self, status: FeedStatus) -> bool:
         """Return whether a peer has changes that are not known here."""
-        return tick.changed > self._known_revision
+        return status.changed > self._known_revision
 
     def known_until(self, now: float) -> float:
         """Return the time up to which every change is known.
@@ -210,7 +210,7 @@
         delivery delay; otherwise it is when the store last confirmed the state.
         """
         watched_s = now - self.confirmed_at
-        if self._is_watching and watched_s < self._pace.watch_s + WATCH_GRACE_S:
+        if self._is_watching and watched_s < self._timing.watch_s + WATCH_GRACE_S:
             return now - WATCH_DELIVERY_S
         return self.confirmed_at
 
@@ -218,7 +218,7 @@
         """Return how long to wait before the next call."""
         return max(0.0, self._next_call_at - now)
 
-    def next_call(self, now: float) -> ListCall | WatchCall | NewsCall | None:
+    def next_call(self, now: float) -> ListCall | WatchCall | PeerUpdateCall | None:
         """Return the call to make now, or None if a followed peer has no changes."""
         uses_readers = self._members is not None and self._members.uses_readers()
         self._update_reader_role(
@@ -237,13 +237,13 @@
             after = self._pages[-1].name if self._pages else ""
             return ListCall(self.kind, after, self._timeout_s)
         self._is_watching = True
-        pace = self._pace
-        watch_s = pace.reader_watch_s if self.is_reader else pace.watch_s
+        timing = self._timing
+        watch_s = timing.reader_watch_s if self.is_reader else timing.watch_s
         return WatchCall(
             self.kind, self._known_revision, watch_s, watch_s + WATCH_GRACE_S
         )
 
-    def take_page(self, page: Page, now: float) -> None:
+    def handle_page(self, page: Page, now: float) -> None:
         """Process a page; the last one completes the list."""
         if not self._pages:
             # The first watch starts here and repeats changes made between pages.
@@ -255,7 +255,7 @@
         self._is_listed = True
         self._apply_list(items, self._first_revision, now)
 
-    def take_changes(self, changes: Changes, now: float) -> None:
+    def handle_changes(self, changes: Changes, now: float) -> None:
         """Process the result of a watch."""
         self._is_watching = False
         self._known_revision = changes.revision
@@ -264,51 +264,51 @@
         if changes.changes:
             self._next_call_at = now + BATCH_S
 
-    def take_news(self, update: NewsAnswer, now: float) -> None:
+    def handle_peer_update(self, update: PeerUpdate, now: float) -> None:
         """Process an update from a peer."""
         self._busy_tries = 0
-        if update.tick.revision < self._known_revision:
+        if update.status.revision < self._known_revision:
             return
-        if now - self.confirmed_at > self._pace.fresh_s:
+        if now - self.confirmed_at > self._timing.fresh_s:
             # The readers had lost the store too, and now pass on its new list.
-            self._listener.note_loss(now)
-        if update.is_whole:
-            self._apply_snapshot(update.items, update.tick.changed, now)
+            self._listener.handle_store_loss(now)
+        if update.is_snapshot:
+            self._apply_snapshot(update.items, update.status.changed, now)
         else:
-            self._apply_changes(update.changes, update.tick.changed, now)
-        self._known_revision = update.tick.revision
-        self.changed = max(self.changed, update.tick.changed)
-        self.confirmed_at = max(self.confirmed_at, now - update.tick.age_s)
+            self._apply_changes(update.changes, update.status.changed, now)
+        self._known_revision = update.status.revision
+        self.changed = max(self.changed, update.status.changed)
+        self.confirmed_at = max(self.confirmed_at, now - update.status.age_s)
 
-    def take_news_busy(self, now: float) -> None:
+    def handle_peer_busy(self, now: float) -> None:
         """Schedule a retry, since a peer was busy answering others."""
         if not self._busy_tries:
             self._busy_since = now
         elif now - self._busy_since > BUSY_GIVE_UP_S:
             self._busy_tries = 0
-            self.take_news_failure(Failure.OVERLOADED, "peers stayed busy", now)
+            self.handle_peer_failure(Failure.OVERLOADED, "peers stayed busy", now)
             return
         self._busy_tries += 1
         self._next_call_at = now + BUSY_RETRY_S
 
-    def take_news_failure(self, failure: str, detail: str, now: float) -> None:
+    def handle_peer_failure(self, failure: str, detail: str, now: float) -> None:
         """Record that a peer did not answer; the store is read instead."""
         self._peer_failed_at = now
         self._events.emit(
             Event.NEWS_FAILED, kind=self.kind, failure=failure, detail=detail
         )
 
-    def news_since(self, revision: int, now: float) -> NewsAnswer | None:
+    def updates_since(self, revision: int, now: float) -> PeerUpdate | None:
         """Return the update for a peer that knows everything up to ``revision``."""
-        tick = self.tick(now)
-        if tick is None:
+        status = self.status(now)
+        if status is None:
             return None
         if revision < self._history_from:
-            return NewsAnswer(True, tuple(self._items.values()), (), tick)
+            return PeerUpdate(True, tuple(self._items.values()), (), status)
         changes = tuple(change for at, change in self._history if at > revision)
-        return NewsAnswer(False, (), changes, tick)
+        return PeerUpdate(False, (), changes, status)
 
-    def take_failure(self, failure: str, detail: str, now: float) -> None:
+    def handle_failure(self, failure: str, detail: str, now: float) -> None:
         """Record that a call to the store failed; the feed lists again."""
         self._is_watching = False
         self._failed_at = now
@@ -344,27 +344,27 @@
             event = Event.READER_TAKEN if is_reader else Event.READER_LEFT
             self._events.emit(event, kind=self.kind)
 
-    def _follow_reader(self, source: Source, now: float) -> NewsCall | None:
-        tick = source.tick
-        if self.lacks(tick):
+    def _follow_reader(self, source: Source, now: float) -> PeerUpdateCall | None:
+        status = source.status
+        if self.lacks(status):
             alternate = self._peers.alternate(
                 source, self._known_revision, self._busy_tries
             )
             return self._call_peer(alternate, self._known_revision)
-        self._known_revision = max(self._known_revision, tick.revision)
-        self.confirmed_at = max(self.confirmed_at, now - tick.age_s)
+        self._known_revision = max(self._known_revision, status.revision)
+        self.confirmed_at = max(self.confirmed_at, now - status.age_s)
         self.is_current = True
         return None
 
-    def _call_peer(self, source: Source, since: int) -> NewsCall:
-        return NewsCall(self.kind, source.address, since, PEER_CALL_TIMEOUT_S)
+    def _call_peer(self, source: Source, since: int) -> PeerUpdateCall:
+        return PeerUpdateCall(self.kind, source.address, since, PEER_CALL_TIMEOUT_S)
 
     def _apply_list(self, items: tuple[Item, ...], revision: int, now: float) -> None:
         after_loss = self._lost_at is not None
         self._replace_items(items, revision)
         self._known_revision = revision
         self._note_store_answer(now)
-        self._listener.take_list(items, after_loss, now)
+        self._listener.handle_list(items, after_loss, now)
         self._notify_update()
 
     def _apply_snapshot(
@@ -372,7 +372,7 @@
     ) -> None:
         """Process a full snapshot from a peer."""
         self._replace_items(items, changed)
-        self._listener.take_list(items, self._lost_at is not None, now)
+        self._listener.handle_list(items, self._lost_at is not None, now)
         self._notify_update()
 
     def _replace_items(self, items: tuple[Item, ...], revision: int) -> None:
@@ -397,7 +397,7 @@
             if self._is_newer(change.item):
                 has_newer = True
                 self._record_change(change, revision)
-                self._listener.take_change(change, now)
+                self._listener.handle_change(change, now)
         if has_newer:
             self._notify_update()
 
--- a/kumquatshift/direct/members.py
+++ b/kumquatshift/direct/members.py
@@ -14,18 +14,18 @@
 
 import xxhash
 
-from .calls import Tick
+from .calls import FeedStatus
 from .events import Event
-from .suspicion import Answering, Suspect
+from .failure_detector import Refutation, Suspect
 
 if TYPE_CHECKING:
     from .events import EventSink
 
-BEAT_S = 1.0
+HEARTBEAT_INTERVAL_S = 1.0
 
 # A reader's heartbeat also carries the age of its updates, so it is sent more
 # often.
-READER_BEAT_S = 0.5
+READER_HEARTBEAT_INTERVAL_S = 0.5
 
 # Three and a half heartbeat intervals, so that two in a row may be lost.
 PEER_TIMEOUT_S = 3.5
@@ -43,11 +43,11 @@
 
 # When to query the seeds for other entries: several times soon after the start,
 # as all entries may start at once, and later while no peer is known.
-ASK_AT_S = (0.0, 0.5, 1.5, 4.0)
-ASK_ALONE_EVERY_S = 5.0
+DISCOVERY_DELAYS_S = (0.0, 0.5, 1.5, 4.0)
+DISCOVERY_RETRY_S = 5.0
 
 
-class Beat(NamedTuple):
+class PeerHeartbeat(NamedTuple):
     """Heartbeat that an entry sends to its peers in the domain."""
 
     name: str
@@ -56,9 +56,9 @@
     incarnation: int
     is_leaving: bool
     reaches_store: bool
-    ticks: tuple[Tick, ...]
+    statuses: tuple[FeedStatus, ...]
     suspects: tuple[Suspect, ...]
-    objections: tuple[Answering, ...]
+    refutations: tuple[Refutation, ...]
 
 
 class Member(NamedTuple):
@@ -72,7 +72,7 @@
 class ReceivedHeartbeat(NamedTuple):
     """A heartbeat and the time of its arrival."""
 
-    beat: Beat
+    beat: PeerHeartbeat
     at: float
 
 
@@ -87,7 +87,7 @@
         self._candidates: dict[str, Member] = {}
         self._queriers: dict[str, tuple[Member, float]] = {}
 
-    def hear(self, beat: Beat, now: float) -> None:
+    def receive_heartbeat(self, beat: PeerHeartbeat, now: float) -> None:
         """Process a heartbeat."""
         if beat.name == self.me.name:
             return
@@ -96,7 +96,7 @@
         self._heartbeats[beat.name] = ReceivedHeartbeat(beat, now)
         self._candidates.pop(beat.name, None)
 
-    def hear_of(self, members: Iterable[Member]) -> None:
+    def add_candidates(self, members: Iterable[Member]) -> None:
         """Add entries of the own domain that have not sent a heartbeat yet."""
         for member in members:
             is_unknown = (
@@ -105,9 +105,9 @@
             if is_unknown and member.domain == self.me.domain:
                 self._candidates[member.name] = member
 
-    def note_asking(self, member: Member, now: float) -> None:
+    def note_query(self, member: Member, now: float) -> None:
         """Record an entry that queried this one, to name it to others in its domain."""
-        self.hear_of((member,))
+        self.add_candidates((member,))
         if len(self._queriers) < MAX_QUERIERS or member.name in self._queriers:
             self._queriers[member.name] = member, now
 
@@ -149,7 +149,7 @@
         found.update(member.address for member in self._candidates.values())
         return sorted(found)
 
-    def forget_named(self) -> None:
+    def drop_candidates(self) -> None:
         """Drop entries that were named by others but sent no heartbeat."""
         self._candidates.clear()
 
--- a/kumquatshift/direct/news.py
+++ b/kumquatshift/direct/peer_updates.py
@@ -16,7 +16,7 @@
 
 import xxhash
 
-from .calls import Tick
+from .calls import FeedStatus
 from .members import Members
 
 # Answers up to this size (a few packets each) are not limited.
@@ -30,10 +30,10 @@
     """A peer, and its current revision and age for one kind of object."""
 
     address: tuple[str, int]
-    tick: Tick
+    status: FeedStatus
 
 
-class News:
+class PeerSelector:
     """Selects peers by what their heartbeats say about one kind of object."""
 
     def __init__(self, kind: str, fresh_s: float, members: Members):
@@ -44,9 +44,9 @@
     def freshest(self, now: float) -> Source | None:
         """Return the peer with the most recently confirmed state, whatever its age."""
         found = None
-        for address, tick, at in self._ticks():
-            aged = tick._replace(age_s=tick.age_s + now - at)
-            if found is None or aged.age_s < found.tick.age_s:
+        for address, status, at in self._statuses():
+            aged = status._replace(age_s=status.age_s + now - at)
+            if found is None or aged.age_s < found.status.age_s:
                 found = Source(address, aged)
         return found
 
@@ -58,13 +58,13 @@
         its link would be saturated for a second.
         """
         found = None
-        for address, tick, at in self._ticks():
-            age_s = tick.age_s + now - at
-            if not tick.is_reader or age_s > self._fresh_s:
+        for address, status, at in self._statuses():
+            age_s = status.age_s + now - at
+            if not status.is_reader or age_s > self._fresh_s:
                 continue
-            rank = tick.since <= known, tick.changed
+            rank = status.since <= known, status.changed
             if found is None or rank > found[0]:
-                found = rank, Source(address, tick._replace(age_s=age_s))
+                found = rank, Source(address, status._replace(age_s=age_s))
         return found[1] if found is not None else None
 
     def alternate(self, source: Source, known: int, attempt: int) -> Source:
@@ -73,11 +73,11 @@
         Readers get an update first, but any peer that has it will do. The choice
         is hashed by follower and attempt to spread the load.
         """
-        wanted = source.tick.changed
+        wanted = source.status.changed
         holders = [
-            Source(address, tick)
-            for address, tick, _ in self._ticks()
-            if tick.changed >= wanted and tick.since <= known
+            Source(address, status)
+            for address, status, _ in self._statuses()
+            if status.changed >= wanted and status.since <= known
         ]
         me = self._members.me.name
         return min(
@@ -86,15 +86,15 @@
             default=source,
         )
 
-    def _ticks(self) -> Iterator[tuple[tuple[str, int], Tick, float]]:
+    def _statuses(self) -> Iterator[tuple[tuple[str, int], FeedStatus, float]]:
         """Yield the status for this kind of each peer, with address and arrival."""
         for beat, at in self._members.peers():
-            for tick in beat.ticks:
-                if tick.kind == self._kind:
-                    yield beat.address, tick, at
+            for status in beat.statuses:
+                if status.kind == self._kind:
+                    yield beat.address, status, at
 
 
-class Handout:
+class TransferLimiter:
     """Rate limit for large answers to followers, which protects the entry's link."""
 
     def __init__(self, link_bytes_per_s: float):
--- a/kumquatshift/direct/placement.py
+++ b/kumquatshift/direct/placement.py
@@ -11,8 +11,8 @@
 
 from collections.abc import Iterable
 
+from .failure_detector import PROBE_INTERVAL_S, may_probe
 from .routes import ServiceLimits
-from .suspicion import PROBE_INTERVAL_S, may_probe
 from .targets import LiveTarget, TargetTable
 from .warmup import Warmup
 
@@ -99,7 +99,7 @@
             return False
         if self.is_relisting(now):
             return not target.suspected
-        return now - target.progress_at < RECENT_ANSWER_S
+        return now - target.last_answer_at < RECENT_ANSWER_S
 
     def is_gone(self, target: LiveTarget, now: float) -> bool:
         """Return whether a target has ended, so that its open flows are lost.
@@ -109,7 +109,7 @@
         """
         if target.listed or self.is_relisting(now):
             return False
-        return target.progress_at < target.unlisted_at
+        return target.last_answer_at < target.unlisted_at
 
     def is_relisting(self, now: float) -> bool:
         """Return whether the list was unreachable until recently."""
--- a/kumquatshift/direct/routes.py
+++ b/kumquatshift/direct/routes.py
@@ -81,7 +81,7 @@
         return self._limits.get(service, NO_LIMITS)
 
 
-def share_of(route: Route, flow: bytes) -> str:
+def service_for_flow(route: Route, flow: bytes) -> str:
     """Return the service for a new flow, chosen by the weights of its route.
 
     The choice depends only on the flow and the route, so all entries agree::
--- a/kumquatshift/direct/site.py
+++ b/kumquatshift/direct/site.py
@@ -69,7 +69,7 @@
                 service=target.service,
                 domain=target.domain,
                 incarnation=target.incarnation,
-                cold_s=report.warms_for_s,
+                cold_s=report.warmup_left_s,
             )
         if target.draining and not was_draining:
             self._events.emit(
@@ -113,6 +113,6 @@
             target=target.name,
             flows=target.flows,
             was_draining=target.draining,
-            answered_s_ago=round(now - target.progress_at, 3),
+            answered_s_ago=round(now - target.last_answer_at, 3),
             kept_on=self.placement.is_present(target, now),
         )
--- a/kumquatshift/direct/steering.py
+++ b/kumquatshift/direct/steering.py
@@ -12,11 +12,11 @@
 from typing import TYPE_CHECKING
 
 from .events import Event
+from .failure_detector import MIN_REPEAT_GAP_S, FailureDetector
 from .flows import Flow, FlowTable
 from .packets import Decision, Drop, Forward, LostFlow, Packet, Reason, Reset
 from .placement import Placement
-from .routes import Route, RouteTable, share_of
-from .suspicion import MIN_REPEAT_GAP_S, Suspicion
+from .routes import Route, RouteTable, service_for_flow
 from .targets import LiveTarget, TargetTable
 
 if TYPE_CHECKING:
@@ -62,7 +62,7 @@
         self._routes = routes
         self._targets = targets
         self._placement = placement
-        self.suspicion = Suspicion(targets, events)
+        self.failure_detector = FailureDetector(targets, events)
         self._events = events
 
     def decide(self, packet: Packet, now: float) -> Decision:
@@ -83,7 +83,7 @@
         without losing anything. If the request is sent first, the caller cannot
         retry it unless it is idempotent.
         """
-        candidates = self.suspicion.suspected() | self._targets.gone()
+        candidates = self.failure_detector.suspected() | self._targets.gone()
         ended = {t for t in candidates if t.flows and self._ended(t, now)}
         if not ended:
             return []
@@ -102,7 +102,7 @@
             if now - first > UNKNOWN_FLOW_TTL_S:
                 del self._unknown_flows[key]
         self._targets.forget(now)
-        self.suspicion.forget(now)
+        self.failure_detector.forget(now)
 
     def _without_route(self, packet: Packet, now: float) -> Decision:
         if not self.knows_all_routes(now):
@@ -143,9 +143,9 @@
         return Forward(target)
 
     def _reopen(self, packet: Packet, route: Route, flow: Flow, now: float) -> Decision:
-        self.suspicion.note_repeat(flow, now)
+        self.failure_detector.note_repeat(flow, now)
         flow.sent_at = flow.seen_at = now
-        self.suspicion.note_probe(flow.target, now)
+        self.failure_detector.note_probe(flow.target, now)
         if packet.copy < MIN_REPLACING_COPY and not flow.target.suspected:
             return Forward(flow.target)
         target = self._pick(packet, route, now)
@@ -166,7 +166,7 @@
         return Forward(target)
 
     def _pick(self, packet: Packet, route: Route, now: float) -> LiveTarget | None:
-        service = share_of(route, packet.flow)
+        service = service_for_flow(route, packet.flow)
         limits = self._routes.limits(service)
         return self._placement.pick(self._targets, service, limits, now)
 
@@ -190,7 +190,7 @@
             self.flows.remove(packet.flow)
             return Reset(reason)
         if packet.size:
-            self.suspicion.note_probe(flow.target, now)
+            self.failure_detector.note_probe(flow.target, now)
         flow.sent_at = flow.seen_at = now
         flow.is_closing = flow.is_closing or packet.is_last
         return Forward(flow.target)
@@ -237,9 +237,9 @@
         known = flow.last_ack >= 0
         moved = known and _is_after(packet.ack, flow.last_ack)
         if first or moved or (known and not packet.size and not packet.is_last):
-            self.suspicion.note_answer(flow, now)
+            self.failure_detector.note_answer(flow, now)
             if first or (moved and flow.waiting):
-                self.suspicion.note_delivery(flow.request_sent_at)
+                self.failure_detector.note_delivery(flow.request_sent_at)
             if flow.waiting:
                 flow.waiting = False
                 flow.target.waiting -= 1
@@ -256,12 +256,12 @@
                 flow.request_sent_at = now
                 flow.target.waiting += 1
         elif not moved:
-            self.suspicion.note_repeat(flow, now)
+            self.failure_detector.note_repeat(flow, now)
 
     def _ended(self, target: LiveTarget, now: float) -> bool:
         if self._placement.is_gone(target, now):
             return True
-        return self.suspicion.is_dead(target, now)
+        return self.failure_detector.is_dead(target, now)
 
     def _end_reason(self, target: LiveTarget) -> Reason:
         return Reason.TARGET_SILENT if target.listed else Reason.TARGET_GONE
@@ -275,7 +275,7 @@
             target=target.name,
             repeats=flow.repeats,
             waiting=flow.waiting,
-            silent_s=round(now - target.progress_at, 3),
+            silent_s=round(now - target.last_answer_at, 3),
         )
 
 
--- a/kumquatshift/direct/targets.py
+++ b/kumquatshift/direct/targets.py
@@ -16,7 +16,7 @@
     """State that one incarnation of a target reports about itself.
 
     ``incarnation`` differs for each start under the same name, ``key`` holds the
-    bytes that address this target in a datagram, and `warms_for_s` is its
+    bytes that address this target in a datagram, and `warmup_left_s` is its
     remaining warm-up time. A draining target keeps its flows and gets no new
     ones.
     """
@@ -29,13 +29,13 @@
     address: tuple[str, int]
     slots: int
     drains: bool = False
-    warms_for_s: float = 0.0
+    warmup_left_s: float = 0.0
 
 
 class LiveTarget:
     """One incarnation of a target, and what this entry has observed of it.
 
-    `progress_at` is when a packet last proved that the target answers.
+    `last_answer_at` is when a packet last proved that the target answers.
     ``complaints`` counts flows that have retransmitted without progress since
     then, and ``peer_complaints`` those that each peer has reported.
     ``probe_sent_at`` is when a suspected target was first sent a packet that
@@ -59,7 +59,7 @@
         "next_cold_flow",
         "next_probe_at",
         "peer_complaints",
-        "progress_at",
+        "last_answer_at",
         "service",
         "silent_since",
         "slots",
@@ -79,7 +79,7 @@
         self.waiting = 0
         self.complaints = 0
         self.peer_complaints: dict[str, int] = {}
-        self.progress_at = now
+        self.last_answer_at = now
         self.silent_since = now
         self.suspected = False
         self.suspected_at = now
@@ -97,7 +97,7 @@
         self.domain = report.domain
         self.slots = report.slots
         self.draining = report.drains
-        self.cold_until = now + report.warms_for_s
+        self.cold_until = now + report.warmup_left_s
         self.listed = True
         self.unlisted_at = now
 
--- a/kumquatshift/direct/warmup.py
+++ b/kumquatshift/direct/warmup.py
@@ -19,7 +19,7 @@
 
 # Number of entries assumed in a domain until heartbeats have arrived: three, the
 # size of small domains.
-UNSETTLED_ENTRIES = 3
+ASSUMED_DOMAIN_ENTRIES = 3
 
 # Delay before an entry without any quota for cold targets checks again.
 UNUSABLE_RETRY_S = 3600.0
@@ -46,7 +46,7 @@
     def __init__(self, bounds: WarmupBounds, domain: str):
         self._bounds = bounds
         self._domain = domain
-        self.entries = UNSETTLED_ENTRIES
+        self.entries = ASSUMED_DOMAIN_ENTRIES
         self.rank = 0
 
     def admits(self, target: LiveTarget, flows_per_s: float, now: float) -> bool:
--- a/kumquatshift/engine/answers.py
+++ b/kumquatshift/engine/answers.py
@@ -6,8 +6,8 @@
 
 from . import coap
 from .coap import Header, ResponseOptions
-from .datagrams import Datagram, answer_packet, read_datagram, with_payload
-from .decisions import Cause, Decision, Pass, Return
+from .datagrams import Datagram, packet_to_caller, read_datagram, with_payload
+from .decisions import Cause, Decision, ForwardToTarget, ReturnToCaller
 from .exchanges import Exchange, ExchangeTable, Phase
 from .slots import Outcome
 
@@ -75,7 +75,7 @@
         data = self._rewrite_for_caller(answer)
         if exchange.phase is not Phase.ANSWERED:
             self._record_delivery(answer, data, now)
-        return [Return(data)]
+        return [ReturnToCaller(data)]
 
     def _read_empty(self, flow, header, datagram):
         exchange = self._exchanges.by_mid(flow, header.mid)
@@ -93,7 +93,7 @@
             answer.exchange.answer = answer.datagram.packet
         else:
             answer.exchange.acknowledged = True
-        return [Return(answer.datagram.packet)]
+        return [ReturnToCaller(answer.datagram.packet)]
 
     def _read_late(self, exchange, header):
         """Discard a late answer; reply RST to a confirmable one to end its repeats."""
@@ -101,7 +101,9 @@
         if header.type == coap.Type.CON:
             rejection = coap.empty_message(coap.Type.RST, header.mid)
             target = exchange.target_tokens[header.token]
-            decisions = (Pass(target, packet_to_target(exchange.flow, rejection)),)
+            decisions = (
+                ForwardToTarget(target, packet_to_target(exchange.flow, rejection)),
+            )
         is_current = header.token == exchange.target_token
         return TargetAnswer(
             exchange=exchange if is_current else None,
@@ -119,7 +121,7 @@
             mid = exchange.to_caller_mid(header.mid)
             self._exchanges.index_mid(exchange, mid)
         token = exchange.header.token
-        message = coap.renamed(answer.datagram.payload, token, mid, kind)
+        message = coap.rewrite_header(answer.datagram.payload, token, mid, kind)
         return with_payload(answer.datagram, message)
 
     def _record_delivery(self, answer, data, now):
@@ -137,7 +139,7 @@
 def packet_to_target(flow: bytes, message: bytes) -> bytes:
     """Return a packet from the caller of ``flow`` to the service."""
     reverse = flow[4:8] + flow[0:4] + flow[10:12] + flow[8:10] + flow[12:]
-    return answer_packet(reverse, message)
+    return packet_to_caller(reverse, message)
 
 
 def _outcome(header, options):
--- a/kumquatshift/engine/coap.py
+++ b/kumquatshift/engine/coap.py
@@ -14,7 +14,7 @@
 from aiocoap.numbers.types import Type
 from returns.result import Failure as Err, Result, Success
 
-from ..errors import ANSWERS, ErrorKind, Failure
+from ..errors import ERROR_CODES, ErrorKind, Failure
 
 VERSION = 1
 HEADER_BYTES = 4
@@ -120,7 +120,9 @@
     return _decode(payload).map(_response_of)
 
 
-def renamed(payload: bytes, token: bytes, mid: int, kind: Type | None = None) -> bytes:
+def rewrite_header(
+    payload: bytes, token: bytes, mid: int, kind: Type | None = None
+) -> bytes:
     """Return the message with a different token, id and type, otherwise unchanged."""
     old = payload[0] & 0x0F
     kind_bits = payload[0] & 0x30 if kind is None else kind << 4
@@ -151,7 +153,7 @@
     """
     piggybacked = req.type == Type.CON and separate_mid is None
     msg = Message(
-        code=Code(ANSWERS[kind].coap_code),
+        code=Code(ERROR_CODES[kind].coap_code),
         payload=text.encode(),
         _mtype=Type.ACK if piggybacked else Type.NON,
         _mid=req.mid if piggybacked else separate_mid or 0,
--- a/kumquatshift/engine/allowance.py
+++ b/kumquatshift/engine/concurrency_limiter.py
@@ -30,7 +30,7 @@
 
 
 @dataclass
-class Allowance:
+class ConcurrencyLimiter:
     """Concurrency limit of one target, as kept by one slot pool.
 
     ``limit`` is the maximum number of requests in flight, at most ``ceiling``;
@@ -41,7 +41,7 @@
     since: float
     limit: float = COLD_LIMIT
     in_flight: dict[str, int] = field(default_factory=dict)
-    good_in_row: int = 0
+    consecutive_successes: int = 0
     consecutive_errors: int = 0
     limit_before_probe: float = 0.0
     latency_s: float = 0.0
@@ -102,7 +102,9 @@
         """Record that a request is sent to the target."""
         self.in_flight[service] = self.in_flight.get(service, 0) + 1
 
-    def good(self, service: str, latency_s: float, peers_s: float, now: float):
+    def record_success(
+        self, service: str, latency_s: float, peer_latency_s: float, now: float
+    ):
         """Record a success; `peers_s` is the latency of other warm targets, or 0."""
         self._finish_request(service, latency_s, now)
         self.pause_s = PAUSE_MIN_S
@@ -113,18 +115,18 @@
         if self._has_latency_jumped():
             self.turn_cold(now)
             return
-        self.good_in_row += 1
-        if self.is_warm or self.good_in_row < ANSWERS_PER_INCREASE:
+        self.consecutive_successes += 1
+        if self.is_warm or self.consecutive_successes < ANSWERS_PER_INCREASE:
             return
-        if self._seems_warm(peers_s, now):
+        if self._seems_warm(peer_latency_s, now):
             self.limit = min(self.ceiling, self.limit + 1)
-            self.good_in_row = 0
+            self.consecutive_successes = 0
 
     def record_shed(self, service: str, max_age_s: float, now: float):
         """Record that the target shed a request, and pause it."""
         self._finish_request(service, 0.0, now)
         self.limit = max(COLD_LIMIT, self.limit / 2)
-        self.good_in_row = 0
+        self.consecutive_successes = 0
         self._pause(max_age_s, now)
 
     def record_error(self, service: str, latency_s: float, now: float):
@@ -134,7 +136,7 @@
         capacity.
         """
         self.consecutive_errors += 1
-        self.good_in_row = 0
+        self.consecutive_successes = 0
         if self.consecutive_errors >= ERRORS_FOR_PAUSE:
             self.record_shed(service, self.pause_s, now)
         else:
@@ -172,7 +174,7 @@
         """Reset the limit to one request at a time."""
         self.limit_before_probe = 0.0
         self.limit = COLD_LIMIT
-        self.good_in_row = 0
+        self.consecutive_successes = 0
         self.samples = 0
         self.recent_slow = ()
         self.latency_s = 0.0
@@ -222,9 +224,9 @@
     def _has_latency_jumped(self):
         return self.is_warm and sum(self.recent_slow) >= JUMP_SLOW_ANSWERS
 
-    def _seems_warm(self, peers_s, now):
-        if peers_s:
-            return self.latency_s <= NORMAL_LATENCY_FACTOR * peers_s
+    def _seems_warm(self, peer_latency_s, now):
+        if peer_latency_s:
+            return self.latency_s <= NORMAL_LATENCY_FACTOR * peer_latency_s
         return now - self.since >= WARM_UP_S
 
     def _pause(self, pause_s, now):
--- a/kumquatshift/engine/datagrams.py
+++ b/kumquatshift/engine/datagrams.py
@@ -54,7 +54,7 @@
     return _build_packet(ip.src, ip.dst, udp.sport, udp.dport, payload, ip.ttl)
 
 
-def answer_packet(flow: bytes, payload: bytes) -> bytes:
+def packet_to_caller(flow: bytes, payload: bytes) -> bytes:
     """Return a packet from the service's address to the caller of ``flow``.
 
     The flow key consists of the caller's and the service's addresses, the two
--- a/kumquatshift/engine/decisions.py
+++ b/kumquatshift/engine/decisions.py
@@ -41,15 +41,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Forward:
+class ReplicateAndForward:
     """Relay ``data`` with the record through the other holders to the target."""
 
-    note: RecordFields
+    record_fields: RecordFields
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Pass:
+class ForwardToTarget:
     """Send ``data`` directly to a target; the other holders have the record already."""
 
     target: str
@@ -57,7 +57,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Return:
+class ReturnToCaller:
     """Send ``data`` to the caller."""
 
     data: bytes
@@ -67,14 +67,14 @@
 class Refuse:
     """Send the refusal ``data`` to the caller.
 
-    With `note`, the record passes the other holders first: the refusal says
+    With `record_fields`, the record passes the other holders first: the refusal says
     "not run", so none of them may forward the request later.
     """
 
     kind: ErrorKind
     cause: Cause
     data: bytes
-    note: RecordFields | None = None
+    record_fields: RecordFields | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,4 +91,6 @@
     cause: Cause
 
 
-Decision = Forward | Pass | Return | Refuse | Queue | Discard
+Decision = (
+    ReplicateAndForward | ForwardToTarget | ReturnToCaller | Refuse | Queue | Discard
+)
--- a/kumquatshift/engine/dispatch.py
+++ b/kumquatshift/engine/dispatch.py
@@ -10,7 +10,7 @@
 from ..errors import ErrorKind
 from . import coap
 from .datagrams import Datagram, with_payload
-from .decisions import Cause, Decision, Forward, Queue
+from .decisions import Cause, Decision, Queue, ReplicateAndForward
 from .exchanges import Exchange, ExchangeTable, Phase
 from .objects import Profile
 from .ports import Randomness
@@ -48,7 +48,7 @@
         """Return whether this entry is the flow's primary."""
         ...
 
-    def is_certain(self, flow: bytes) -> bool:
+    def has_quorum(self, flow: bytes) -> bool:
         """Return whether no other entry can have decided, or can decide now.
 
         True while at least two of the flow's three holders, including this
@@ -106,12 +106,12 @@
         if not exchange.holds_slot or outcome is None:
             return []
         exchange.holds_slot = False
-        freed = self.pool.release(exchange.ticket, outcome, now, max_age_s)
+        freed = self.pool.release(exchange.claim_id, outcome, now, max_age_s)
         return self._apply_verdicts(freed, now)
 
     def abandon(self, exchange: Exchange, now: float):
         """Cancel an exchange; a slot stays in use until an answer or a timeout."""
-        waiting = self._claims.pop(exchange.ticket, None)
+        waiting = self._claims.pop(exchange.claim_id, None)
         if waiting is not None:
             self.pool.withdraw(waiting[0])
         if exchange.phase.is_open:
@@ -189,18 +189,18 @@
         self, exchange: Exchange, datagram: Datagram, mid: int
     ) -> bytes:
         """Return the caller's packet with the token and message id for the target."""
-        message = coap.renamed(datagram.payload, exchange.target_token, mid)
+        message = coap.rewrite_header(datagram.payload, exchange.target_token, mid)
         return with_payload(datagram, message)
 
     def _may_forward(self, exchange):
         if exchange.is_idempotent:
             return self.authority.is_primary(exchange.flow)
-        certain = self.authority.is_certain(exchange.flow)
+        certain = self.authority.has_quorum(exchange.flow)
         return certain and self.authority.is_primary(exchange.flow)
 
     def _claim(self, exchange, pinned=""):
         return Claim(
-            exchange.ticket,
+            exchange.claim_id,
             exchange.service,
             self.profile(exchange.service).priority,
             exchange.deadline,
@@ -211,7 +211,7 @@
     def _apply_verdicts(self, verdicts: list[Verdict], now):
         decisions = []
         for verdict in verdicts:
-            claim, exchange = self._claims.pop(verdict.ticket)
+            claim, exchange = self._claims.pop(verdict.claim_id)
             decisions += self._apply_verdict(exchange, claim, verdict, now)
         return decisions
 
@@ -220,7 +220,7 @@
             exchange.holds_slot = True
             return self._send_if_allowed(exchange, verdict.target, now)
         if isinstance(verdict, Waiting):
-            self._claims[claim.ticket] = (claim, exchange)
+            self._claims[claim.claim_id] = (claim, exchange)
             self.exchanges.add(exchange)
             return [Queue(exchange.key)]
         if not self.authority.is_primary(exchange.flow):
@@ -247,7 +247,7 @@
         self.exchanges.add(exchange)
         self.schedule_check(exchange, now + self._attempt_timeout_s(exchange))
         data = self.rewrite_for_target(exchange, exchange.datagram, exchange.header.mid)
-        return [Forward(record_fields_of(exchange), data)]
+        return [ReplicateAndForward(record_fields_of(exchange), data)]
 
     def _check(self, exchange, now):
         """Check an exchange for its deadline, a retry or the end of a watch."""
@@ -271,11 +271,11 @@
             return []
         if now - exchange.sent_at < self._attempt_timeout_s(exchange):
             return []
-        ticket = exchange.ticket
+        claim_id = exchange.claim_id
         retried = self.retry(exchange, now)
         if not retried:
             return []
-        freed = self.pool.release(ticket, Outcome.LOST, now)
+        freed = self.pool.release(claim_id, Outcome.LOST, now)
         return retried + self._apply_verdicts(freed, now)
 
     def _check_watch(self, exchange, now):
--- a/kumquatshift/engine/entry.py
+++ b/kumquatshift/engine/entry.py
@@ -71,7 +71,7 @@
         """Whether the fabric should send packets to this entry."""
         node = self.node
         serving = node.state is EntryState.LIVE and not node.resuming
-        return serving and node.store.domain_in(node.me.domain)
+        return serving and node.store.domain_in_service(node.me.domain)
 
     def packet(self, data: bytes) -> list[Action]:
         """Handle a packet from the fabric."""
@@ -300,7 +300,7 @@
 
     def _domains_in(self):
         domains = self.node.store.domains
-        return {name for name in domains if self.node.store.domain_in(name)}
+        return {name for name in domains if self.node.store.domain_in_service(name)}
 
     def _update_targets(self, before, now):
         node = self.node
--- a/kumquatshift/engine/exchanges.py
+++ b/kumquatshift/engine/exchanges.py
@@ -115,7 +115,7 @@
         return self.is_watch and self.phase in (Phase.SENT, Phase.WATCHED)
 
     @property
-    def ticket(self) -> bytes:
+    def claim_id(self) -> bytes:
         """Id of this attempt's claim in the slot pool."""
         return self.key + b"/%d/%d" % (self.epoch, self.attempt)
 
@@ -142,7 +142,7 @@
     def start_attempt(self, target: str, salt: int, now: float):
         """Record an attempt at ``target``, and generate a new token for it."""
         seed = b"%b/%d/%d/%d" % (
-            self.ticket,
+            self.claim_id,
             self.born_ms,
             salt,
             len(self.tried_targets),
--- a/kumquatshift/engine/flows.py
+++ b/kumquatshift/engine/flows.py
@@ -10,12 +10,12 @@
 class Flow:
     """One flow; times are in seconds on the entry's clock.
 
-    ``holders`` are the entries known to hold a copy, and ``placed_at`` is when a
+    ``holders`` are the entries known to hold a copy, and ``replicated_at`` is when a
     packet last carried the record to them. A tentative record is confirmed at
     ``tentative_until`` unless a preferred one turns up; only the primary sets this
     time. ``unanswered`` counts the caller's packets since the last answer, the first
     of them at ``unanswered_since``; ``answered`` is set once any answer has arrived.
-    ``proven`` is set once the record is taken to have reached every holder, and
+    ``fully_replicated`` is set once the record is taken to have reached every holder, and
     ``replication_attempts`` counts the packets that carried it before that.
     ``opened_here`` is set while this entry has chosen the target and no answer has
     arrived.
@@ -28,9 +28,9 @@
         "holders",
         "last_seen",
         "opened_here",
-        "placed_at",
+        "replicated_at",
         "replication_attempts",
-        "proven",
+        "fully_replicated",
         "record",
         "tentative_until",
         "unanswered",
@@ -42,9 +42,9 @@
         self.bucket = bucket
         self.last_seen = now
         self.holders: tuple[RingEntry, ...] = ()
-        self.placed_at = STALE_S
+        self.replicated_at = STALE_S
         self.replication_attempts = 0
-        self.proven = False
+        self.fully_replicated = False
         self.opened_here = False
         self.tentative_until = NEVER_S
         self.unanswered = 0
--- a/kumquatshift/engine/holders.py
+++ b/kumquatshift/engine/holders.py
@@ -22,7 +22,7 @@
 class RequestHolders:
     """The holders of request services, as seen by one entry.
 
-    Implements the request policy's `Standing`. ``flow`` is a flow key, or a longer
+    Implements the request policy's `FlowAuthority`. ``flow`` is a flow key, or a longer
     key that starts with one.
     """
 
@@ -51,7 +51,7 @@
         present = [holder for holder in holders if holder in ring.present]
         return bool(present) and present[0].name == self._node.name
 
-    def is_certain(self, flow: bytes) -> bool:
+    def has_quorum(self, flow: bytes) -> bool:
         """Return whether two of the flow's three holders are reachable voters."""
         node = self._node
         view = self.view(flow)
@@ -62,8 +62,8 @@
             return own
         holders = self._holders(flow)
         inside = node.name in (holder.name for holder in holders)
-        witnesses = len(self.witnesses(flow)) + (inside and own)
-        return 2 * witnesses > len(holders)
+        voters = len(self.voters(flow)) + (inside and own)
+        return 2 * voters > len(holders)
 
     def quiet_time_over(self, view: ServiceView, now: float) -> bool:
         """Return whether this entry's quiet time for a service is over.
@@ -73,13 +73,13 @@
         since = max(self._started_at, self._node.resumed_at)
         return now - since >= _quiet_time_s(view)
 
-    def witnesses(self, flow: bytes) -> tuple[str, ...]:
+    def voters(self, flow: bytes) -> tuple[str, ...]:
         """Return the other reachable holders whose quiet time is over."""
         now, view = self._node.clock.seconds(), self.view(flow)
         names = self._others(flow)
         return tuple(name for name in names if self._is_voter(name, view, now))
 
-    def newcomers(self, flow: bytes) -> tuple[str, ...]:
+    def non_voters(self, flow: bytes) -> tuple[str, ...]:
         """Return the other reachable holders still in their quiet time.
 
         They store records but don't count towards the majority.
--- a/kumquatshift/engine/members.py
+++ b/kumquatshift/engine/members.py
@@ -82,7 +82,7 @@
         me: Vm,
         incarnation: int,
         timers: MemberTimers,
-        domain_in: Callable[[str], bool],
+        domain_in_service: Callable[[str], bool],
     ):
         self.me = me
         self.incarnation = incarnation
@@ -91,7 +91,7 @@
         self.ring = Ring([])
         self.known = Ring([])
         self.reachable_domains: frozenset[str] = frozenset()
-        self._domain_in = domain_in
+        self._domain_in = domain_in_service
         self._latest: dict[str, tuple[int, int]] = {}
 
     def list_vms(self, vms: Iterable[Vm], now: float) -> None:
--- a/kumquatshift/engine/node.py
+++ b/kumquatshift/engine/node.py
@@ -50,7 +50,7 @@
         self.limits = limits
         self.timers = timers
         self.store = ConfigStore()
-        self.members = Membership(me, incarnation, timers, self.store.domain_in)
+        self.members = Membership(me, incarnation, timers, self.store.domain_in_service)
         self.flows = FlowTable()
         self.chooser = TargetChooser()
         self.counters: Counter[str] = Counter()
@@ -81,7 +81,7 @@
         if record.service != view.created:
             return None
         target = view.targets.get(record.target)
-        if target is None or not self.store.domain_in(target.domain):
+        if target is None or not self.store.domain_in_service(target.domain):
             return None
         return target
 
@@ -90,8 +90,10 @@
 
         Targets in reachable domains are returned if there are any, otherwise all.
         """
-        in_service = [t for t in admitted(view) if self.store.domain_in(t.domain)]
-        reachable = [t for t in in_service if self.reaches(t.domain)]
+        in_service = [
+            t for t in admitted(view) if self.store.domain_in_service(t.domain)
+        ]
+        reachable = [t for t in in_service if self.is_reachable(t.domain)]
         return reachable or in_service
 
     def has_capacity(self, target: Target) -> bool:
@@ -109,11 +111,11 @@
         return any(
             member.listed
             and member.domain not in self.members.reachable_domains
-            and self.store.domain_in(member.domain)
+            and self.store.domain_in_service(member.domain)
             for member in self.members.members.values()
         )
 
-    def reaches(self, domain: str) -> bool:
+    def is_reachable(self, domain: str) -> bool:
         """Return whether a domain is reachable, judged by its entries.
 
         A domain without known entries counts as reachable.
--- a/kumquatshift/engine/priority.py
+++ b/kumquatshift/engine/priority.py
@@ -14,12 +14,12 @@
 class Claim:
     """A request's claim to a slot.
 
-    `ticket` identifies the claim; ``deadline`` is a time in seconds; ``pinned``
+    `claim_id` identifies the claim; ``deadline`` is a time in seconds; ``pinned``
     is the only eligible target, if set; ``avoid`` are targets that have already
     been tried.
     """
 
-    ticket: bytes
+    claim_id: bytes
     service: str
     priority: Priority
     deadline: float
@@ -64,11 +64,11 @@
         claims = self._waiting[claim.priority]
         if not claims:
             self._catch_up(claim.priority)
-        claims[claim.ticket] = claim
+        claims[claim.claim_id] = claim
 
     def remove(self, claim: Claim) -> bool:
         """Remove a claim; return False if it was not queued."""
-        return self._waiting[claim.priority].pop(claim.ticket, None) is not None
+        return self._waiting[claim.priority].pop(claim.claim_id, None) is not None
 
     def pop(self, fits: Callable[[Claim], bool]) -> Claim | None:
         """Remove and return the next claim for which ``fits`` is true, or None."""
--- a/kumquatshift/engine/refusals.py
+++ b/kumquatshift/engine/refusals.py
@@ -7,7 +7,7 @@
 from ..errors import ErrorKind
 from . import coap
 from .coap import MESSAGE_IDS
-from .datagrams import answer_packet
+from .datagrams import packet_to_caller
 from .decisions import Cause, RecordFields, Refuse
 from .exchanges import Exchange, Phase
 from .ports import Randomness
@@ -79,7 +79,7 @@
         return Refuse(
             exchange.kind,
             cause,
-            answer_packet(exchange.flow, self._message(exchange)),
+            packet_to_caller(exchange.flow, self._message(exchange)),
             record_fields_of(exchange) if says_not_run else None,
         )
 
--- a/kumquatshift/engine/request_router.py
+++ b/kumquatshift/engine/request_router.py
@@ -10,7 +10,13 @@
 """
 
 from .actions import Action, DropReason, SendCaller, SendPeer, SendTarget
-from .decisions import Decision, Forward, Pass, Refuse, Return
+from .decisions import (
+    Decision,
+    ForwardToTarget,
+    Refuse,
+    ReplicateAndForward,
+    ReturnToCaller,
+)
 from .holders import RequestHolders
 from .messages import Direction, Record, RecordBatch, Relay
 from .node import Node
@@ -70,13 +76,16 @@
         targets = [
             target
             for target in node.store.targets.values()
-            if target.service in requests and node.store.domain_in(target.domain)
+            if target.service in requests
+            and node.store.domain_in_service(target.domain)
         ]
         self._pool.configure(requests, targets, now)
         self._policy.configure(requests)
         names = frozenset(target.name for target in targets)
         lost, self._usable_targets = self._usable_targets - names, names
-        decisions = [d for name in lost for d in self._policy.lose_target(name, now)]
+        decisions = [
+            d for name in lost for d in self._policy.handle_lost_target(name, now)
+        ]
         return self._actions_for(decisions)
 
     def primary(self, view: ServiceView) -> str:
@@ -122,7 +131,7 @@
 
     def tick(self, now: float) -> list[Action]:
         """Handle timeouts and pending copies; to be called about every 50 ms."""
-        self._pool.cut_off = self._unreachable_domains()
+        self._pool.unreachable_domains = self._unreachable_domains()
         return self._actions_for(self._policy.tick(now)) + self._next_record_batches()
 
     def ring_changed(self) -> None:
@@ -139,7 +148,7 @@
             flow = exchange.flow
             if holders.is_primary(flow) or holders.was_primary(flow, *before):
                 record = self._record(record_fields_of(exchange))
-                names = holders.witnesses(flow) + holders.newcomers(flow)
+                names = holders.voters(flow) + holders.non_voters(flow)
                 self._pending_copies += [(name, record) for name in names]
 
     def _next_record_batches(self):
@@ -161,13 +170,19 @@
         """Return the failure domains of targets that this entry can't reach."""
         node = self._node
         domains = {target.domain for target in self._pool.targets.values()}
-        return frozenset(name for name in domains if not node.reaches(name))
+        return frozenset(name for name in domains if not node.is_reachable(name))
 
-    def _record(self, note):
-        view = self._holders.view(note.key)
+    def _record(self, record_fields):
+        view = self._holders.view(record_fields.key)
         created = view.created if view is not None else 0
         return Record(
-            note.key, note.target, created, note.born_ms, note.epoch, False, note.detail
+            record_fields.key,
+            record_fields.target,
+            created,
+            record_fields.born_ms,
+            record_fields.epoch,
+            False,
+            record_fields.detail,
         )
 
     def _actions_for(self, decisions: list[Decision]) -> list[Action]:
@@ -177,26 +192,26 @@
         return actions
 
     def _actions_for_one(self, decision):
-        if isinstance(decision, Return):
+        if isinstance(decision, ReturnToCaller):
             return [SendCaller(decision.data)]
-        if isinstance(decision, Pass):
+        if isinstance(decision, ForwardToTarget):
             return self._to_target(decision.target, decision.data)
-        if isinstance(decision, Forward) or (
-            isinstance(decision, Refuse) and decision.note
+        if isinstance(decision, ReplicateAndForward) or (
+            isinstance(decision, Refuse) and decision.record_fields
         ):
-            record = self._record(decision.note)
-            flow = decision.note.key[:KEY_BYTES]
-            witnesses = self._holders.witnesses(flow)
-            path = witnesses + self._holders.newcomers(flow)
-            return self._send_along_path(path, record, decision.data, len(witnesses))
+            record = self._record(decision.record_fields)
+            flow = decision.record_fields.key[:KEY_BYTES]
+            voters = self._holders.voters(flow)
+            path = voters + self._holders.non_voters(flow)
+            return self._send_along_path(path, record, decision.data, len(voters))
         if isinstance(decision, Refuse):
             return [SendCaller(decision.data)]
         return []
 
-    def _send_along_path(self, path, record, data, witnesses):
+    def _send_along_path(self, path, record, data, voters):
         """Relay a record and its packet through the path, or deliver the packet.
 
-        The first ``witnesses`` entries of the path must be witnesses.
+        The first ``voters`` entries of the path must be witnesses.
         """
         if path:
             relay = Relay(
@@ -206,7 +221,7 @@
                 path[1:],
                 (),
                 record,
-                max(0, witnesses),
+                max(0, voters),
             )
             return [SendPeer(path[0], relay)]
         if record.target:
@@ -216,7 +231,7 @@
     def _to_target(self, name, data):
         node = self._node
         target = node.store.targets.get(name)
-        if target is None or not node.store.domain_in(target.domain):
+        if target is None or not node.store.domain_in_service(target.domain):
             return [node.drop(DropReason.DOMAIN_OUT)]
         node.sent[name] += 1
         return [SendTarget(target.host, target.port, data)]
--- a/kumquatshift/engine/requests.py
+++ b/kumquatshift/engine/requests.py
@@ -15,8 +15,15 @@
 from . import coap
 from .answers import AnswerHandler, packet_to_target
 from .coap import Type
-from .datagrams import answer_packet, read_datagram
-from .decisions import Cause, Decision, Discard, Forward, Pass, Return
+from .datagrams import packet_to_caller, read_datagram
+from .decisions import (
+    Cause,
+    Decision,
+    Discard,
+    ForwardToTarget,
+    ReplicateAndForward,
+    ReturnToCaller,
+)
 from .dispatch import Dispatcher, FlowAuthority
 from .exchanges import Exchange, ExchangeTable, Phase, message_digest
 from .messages import Record
@@ -155,7 +162,7 @@
         self._replace_adopted(known, adopted, now)
         return True
 
-    def lose_target(self, target: str, now: float) -> list[Decision]:
+    def handle_lost_target(self, target: str, now: float) -> list[Decision]:
         """Retry the idempotent requests of a lost target where possible, or give up."""
         decisions = []
         for exchange in self.exchanges.open():
@@ -180,14 +187,16 @@
         """Handle an empty message: a ping, or an ACK or RST for a target's message."""
         if header.type == Type.CON:
             return [
-                Return(answer_packet(flow, coap.empty_message(Type.RST, header.mid)))
+                ReturnToCaller(
+                    packet_to_caller(flow, coap.empty_message(Type.RST, header.mid))
+                )
             ]
         known = self.exchanges.by_caller_mid(flow, header.mid)
         if known is not None:
             data = coap.empty_message(Type(header.type), known.target_mids[header.mid])
             if header.type == Type.RST and known.phase is Phase.WATCHED:
                 self.exchanges.end(known, Phase.ABANDONED, now)
-            return [Pass(known.target, packet_to_target(flow, data))]
+            return [ForwardToTarget(known.target, packet_to_target(flow, data))]
         known = self.exchanges.by_mid(flow, header.mid)
         if header.type == Type.RST and known is not None and known.phase.is_open:
             return self._cancel(known, header, now)
@@ -198,7 +207,9 @@
         self.dispatcher.abandon(exchange, now)
         if was_sent:
             data = coap.empty_message(Type.RST, header.mid)
-            return [Pass(exchange.target, packet_to_target(exchange.flow, data))]
+            return [
+                ForwardToTarget(exchange.target, packet_to_target(exchange.flow, data))
+            ]
         return [self._discard(Cause.CANCELLED)]
 
     def _handle_retransmission(self, known, datagram, mid):
@@ -210,10 +221,10 @@
         if known.phase is Phase.REFUSED:
             return [self.dispatcher.refusals.repeat(known, Cause.REPEATED)]
         if known.answer:
-            return [Return(known.answer)]
+            return [ReturnToCaller(known.answer)]
         if known.phase in (Phase.SENT, Phase.WATCHED) and known.is_idempotent:
             data = self.dispatcher.rewrite_for_target(known, datagram, mid)
-            return [Forward(record_fields_of(known), data)]
+            return [ReplicateAndForward(record_fields_of(known), data)]
         return [self._discard(Cause.REPEATED)]
 
     def _handle_new_request(self, service, flow, datagram, header, digest, now):
@@ -270,7 +281,9 @@
             return self.answers.deliver(answer, now) + freed
         if answer.header.type == Type.CON:
             data = coap.empty_message(Type.ACK, answer.header.mid)
-            retried.append(Pass(target, packet_to_target(exchange.flow, data)))
+            retried.append(
+                ForwardToTarget(target, packet_to_target(exchange.flow, data))
+            )
         return retried + freed
 
     def _store_adopted(self, exchange, now):
@@ -294,7 +307,7 @@
 
     def _pass_to_target(self, exchange, datagram, mid):
         data = self.dispatcher.rewrite_for_target(exchange, datagram, mid)
-        return Pass(exchange.target, data)
+        return ForwardToTarget(exchange.target, data)
 
     def _discard(self, cause):
         self.counts[cause] += 1
--- a/kumquatshift/engine/retries.py
+++ b/kumquatshift/engine/retries.py
@@ -15,19 +15,19 @@
     """
 
     share: float
-    saved: float = 0.0
+    tokens: float = 0.0
 
     def record_first_attempt(self):
         """Record that a request was forwarded for the first time."""
-        self.saved = min(BURST_RETRIES, self.saved + self.share)
+        self.tokens = min(BURST_RETRIES, self.tokens + self.share)
 
     def take(self) -> bool:
         """Take the token for a retry; return False if there is none."""
-        if self.saved < 1.0:
+        if self.tokens < 1.0:
             return False
-        self.saved -= 1.0
+        self.tokens -= 1.0
         return True
 
     def refund(self):
         """Return the token of a retry that was not made."""
-        self.saved += 1.0
+        self.tokens += 1.0
--- a/kumquatshift/engine/router.py
+++ b/kumquatshift/engine/router.py
@@ -234,7 +234,7 @@
         if relay.copies > 0 or own is not None:
             flow = self._store_record(best, now)
             self._mark_replicated(flow, flow.holders, relay.data, now)
-            flow.proven = not relay.path
+            flow.fully_replicated = not relay.path
         found = best is not carried and not best.tentative
         if found or not relay.path:
             target = node.usable(best, view)
@@ -277,7 +277,7 @@
             return self._requests.from_target(data, now)
         if flow is not None:
             flow.last_seen = now
-            flow.proven = True
+            flow.fully_replicated = True
             flow.opened_here = False
             flow.replication_attempts = 0
             self._silence_detector.note_answer(flow, now)
@@ -301,7 +301,7 @@
         bucket = bucket_of(record.key)
         flow = node.flows.put(record, bucket, now)
         flow.holders = node.members.ring.holders(bucket)
-        flow.placed_at = STALE_S
+        flow.replicated_at = STALE_S
         return flow
 
     def _is_current(self, flow, view, holders, now):
@@ -310,9 +310,9 @@
         Otherwise the record has to be replicated or confirmed first.
         """
         refresh_s = view.profile.idle_timeout_s / REFRESHES_PER_IDLE_TIMEOUT
-        if flow.holders != holders or now - flow.placed_at > refresh_s:
+        if flow.holders != holders or now - flow.replicated_at > refresh_s:
             return False
-        if not flow.proven or flow.record.tentative:
+        if not flow.fully_replicated or flow.record.tentative:
             return False
         return flow.last_seen >= self._node.resumed_at
 
@@ -325,7 +325,7 @@
         if flow.record.tentative and now >= flow.tentative_until:
             flow.record = replace(flow.record, tentative=False)
             flow.tentative_until = NEVER_S
-            flow.placed_at = STALE_S
+            flow.replicated_at = STALE_S
 
     def _is_unconfirmed(self, flow, now):
         if flow.record.tentative and flow.tentative_until == NEVER_S:
@@ -345,11 +345,11 @@
         if flow.holders != holders:
             flow.replication_attempts = 0
         flow.replication_attempts += 1
-        flow.proven = flow.replication_attempts >= MAX_REPLICATION_ATTEMPTS
+        flow.fully_replicated = flow.replication_attempts >= MAX_REPLICATION_ATTEMPTS
 
     def _mark_replicated(self, flow, holders, data, now):
         flow.holders = holders
-        flow.placed_at = STALE_S if flow.record.tentative else now
+        flow.replicated_at = STALE_S if flow.record.tentative else now
         flow.last_seen = now
         if tcp_flags(data) & (TCP_FIN | TCP_RST):
             flow.closing = True
@@ -387,10 +387,10 @@
         """
         node = self._node
         domain = target.domain
-        if node.reaches(domain):
+        if node.is_reachable(domain):
             return False
         if not any(
-            node.reaches(other.domain) for other in node.candidate_targets(view)
+            node.is_reachable(other.domain) for other in node.candidate_targets(view)
         ):
             return False
         opened_s = flow.record.born_ms / 1000
--- a/kumquatshift/engine/slots.py
+++ b/kumquatshift/engine/slots.py
@@ -10,7 +10,7 @@
 from enum import StrEnum
 from statistics import median
 
-from .allowance import DEFAULT_LATENCY_S, Allowance
+from .concurrency_limiter import DEFAULT_LATENCY_S, ConcurrencyLimiter
 from .objects import Priority, Profile, Target, TargetState
 from .priority import Claim, ClaimQueue
 
@@ -51,7 +51,7 @@
 class Granted:
     """The claim was granted a slot of ``target``."""
 
-    ticket: bytes
+    claim_id: bytes
     target: str
 
 
@@ -59,14 +59,14 @@
 class Waiting:
     """The claim is queued; a later `SlotPool.tick` or a release decides it."""
 
-    ticket: bytes
+    claim_id: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
     """The claim was rejected; ``backlog_s`` estimates the time to clear the backlog."""
 
-    ticket: bytes
+    claim_id: bytes
     reason: Rejection
     backlog_s: float
 
@@ -96,7 +96,7 @@
 class SlotPool:
     """Grants the slots of a set of targets to the claims of several services.
 
-    Targets with the same host share its slots. Times are in seconds. `cut_off`
+    Targets with the same host share its slots. Times are in seconds. `unreachable_domains`
     is the set of unreachable failure domains: their targets get no new work,
     except the later blocks of a block-wise transfer that already goes to one of
     them. A pool counts only the slots that it granted itself, so two pools with
@@ -105,9 +105,9 @@
 
     targets: dict[str, Target] = field(default_factory=dict)
     profiles: dict[str, Profile] = field(default_factory=dict)
-    hosts: dict[str, Allowance] = field(default_factory=dict)
+    hosts: dict[str, ConcurrencyLimiter] = field(default_factory=dict)
     queue: ClaimQueue = field(default_factory=ClaimQueue)
-    cut_off: frozenset[str] = frozenset()
+    unreachable_domains: frozenset[str] = frozenset()
     _leases: dict[bytes, _Lease] = field(default_factory=dict)
     _expired_leases: dict[bytes, _Lease] = field(default_factory=dict)
     _last_answer_at: float = 0.0
@@ -134,7 +134,9 @@
         for target in self.targets.values():
             ceilings[target.host] = max(target.slots, ceilings.get(target.host, 1))
         for host, ceiling in ceilings.items():
-            limiter = self.hosts.setdefault(host, Allowance(ceiling, since=now))
+            limiter = self.hosts.setdefault(
+                host, ConcurrencyLimiter(ceiling, since=now)
+            )
             limiter.ceiling = ceiling
             limiter.limit = min(limiter.limit, ceiling)
         busy = {self.targets.get(lease.target) for lease in self._leases.values()}
@@ -163,15 +165,15 @@
         if now + self.wait_s(claim.service, claim.priority) + mean_s > claim.deadline:
             return self._reject(claim, Rejection.TOO_LATE)
         self.queue.push(claim)
-        return Waiting(claim.ticket)
+        return Waiting(claim.claim_id)
 
     def release(
-        self, ticket: bytes, outcome: Outcome, now: float, max_age_s: float = 0.0
+        self, claim_id: bytes, outcome: Outcome, now: float, max_age_s: float = 0.0
     ) -> list[Verdict]:
         """Release a slot, and return the verdicts on queued claims that follow."""
-        lease = self._leases.pop(ticket, None)
+        lease = self._leases.pop(claim_id, None)
         if lease is None:
-            self._record_late_answer(ticket, outcome, now)
+            self._record_late_answer(claim_id, outcome, now)
             return []
         self._end_lease(lease, outcome, now, max_age_s)
         return self._dispatch(now)
@@ -194,7 +196,7 @@
         if host in self.hosts:
             self.hosts[host].report(load, at)
 
-    def renew(self, host: str, now: float):
+    def reset_host(self, host: str, now: float):
         """Reset the limit of a host that has restarted: it is cold."""
         if host in self.hosts:
             self.hosts[host].turn_cold(now)
@@ -264,7 +266,7 @@
             for target in self._service_targets.get(claim.service, ())
             if target.state is TargetState.ADMITTED
             and target.name not in claim.avoid
-            and target.domain not in self.cut_off
+            and target.domain not in self.unreachable_domains
         ]
 
     def _has_room(self, target, service, now):
@@ -290,11 +292,11 @@
 
     def _grant(self, claim, target, now):
         self.hosts[target.host].start(claim.service)
-        self._leases[claim.ticket] = _Lease(claim, target.name, now)
-        return Granted(claim.ticket, target.name)
+        self._leases[claim.claim_id] = _Lease(claim, target.name, now)
+        return Granted(claim.claim_id, target.name)
 
     def _reject(self, claim, reason):
-        return Rejected(claim.ticket, reason, self.backlog_s(claim.service))
+        return Rejected(claim.claim_id, reason, self.backlog_s(claim.service))
 
     def _end_lease(self, lease, outcome, now, max_age_s=0.0):
         target = self.targets.get(lease.target)
@@ -324,21 +326,21 @@
     def _expire_leases(self, now):
         """Free the slots whose leases have expired without an answer."""
         overdue = []
-        for ticket, lease in self._leases.items():
+        for claim_id, lease in self._leases.items():
             if now - lease.since < LEASE_MIN_S:
                 break
             if now - lease.since >= self._lease_duration_s(lease.claim.service):
-                overdue.append(ticket)
-        for ticket in overdue:
-            lease = self._leases.pop(ticket)
-            self._expired_leases[ticket] = lease
+                overdue.append(claim_id)
+        for claim_id in overdue:
+            lease = self._leases.pop(claim_id)
+            self._expired_leases[claim_id] = lease
             self._end_lease(lease, Outcome.LOST, now)
         while len(self._expired_leases) > MAX_EXPIRED_LEASES:
             del self._expired_leases[next(iter(self._expired_leases))]
 
-    def _record_late_answer(self, ticket, outcome, now):
+    def _record_late_answer(self, claim_id, outcome, now):
         """Use the latency of an answer that came after its lease expired."""
-        lease = self._expired_leases.pop(ticket, None)
+        lease = self._expired_leases.pop(claim_id, None)
         if lease is None or outcome is not Outcome.GOOD:
             return
         average = self._service_times.setdefault(
@@ -356,7 +358,9 @@
         latency_s = now - lease.since
         if outcome is Outcome.GOOD:
             self._service_times.setdefault(service, _MeanServiceTime()).learn(latency_s)
-            limiter.good(service, latency_s, self._peer_latency_s(limiter), now)
+            limiter.record_success(
+                service, latency_s, self._peer_latency_s(limiter), now
+            )
         elif outcome is Outcome.SHED:
             limiter.record_shed(service, max_age_s, now)
         elif outcome is Outcome.FAILED:
--- a/kumquatshift/engine/store.py
+++ b/kumquatshift/engine/store.py
@@ -88,7 +88,7 @@
             if digests[_bucket(obj)] != self._bucket_digests[_bucket(obj)]
         ]
 
-    def domain_in(self, name: str) -> bool:
+    def domain_in_service(self, name: str) -> bool:
         """Return whether a failure domain is in service; unknown ones count as such."""
         return name not in self._domains_out
 
--- a/kumquatshift/engine/sweep.py
+++ b/kumquatshift/engine/sweep.py
@@ -113,7 +113,7 @@
             # Check the flow again: the entry that sends its copy may fail first.
             return
         flow.holders = holders
-        flow.placed_at = STALE_S
+        flow.replicated_at = STALE_S
 
     def _remaining_copies(self, flow):
         present = self._node.members.ring.present
@@ -148,7 +148,7 @@
         """
         timers = self._node.timers
         notice_s = timers.suspect_s + timers.heartbeat_s
-        return flow.placed_at > self._node.ring_changed_at - notice_s
+        return flow.replicated_at > self._node.ring_changed_at - notice_s
 
     def _expired(self, flow, now):
         node = self._node
--- a/kumquatshift/errors.py
+++ b/kumquatshift/errors.py
@@ -37,7 +37,7 @@
     grpc_status: StatusCode
 
 
-ANSWERS: dict[ErrorKind, ErrorCodes] = {
+ERROR_CODES: dict[ErrorKind, ErrorCodes] = {
     ErrorKind.BAD_INPUT: ErrorCodes(
         0x80, ExitStatus.USAGE, StatusCode.INVALID_ARGUMENT
     ),
--- a/kumquatshift/fields.py
+++ b/kumquatshift/fields.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True)
-class Mistake:
+class FieldError:
     """One invalid field of an object, with the value found and what is allowed."""
 
     subject: str
@@ -75,7 +75,7 @@
 
 
 @dataclass(frozen=True)
-class Whole:
+class Integer:
     """An integer from ``low`` to ``high``, inclusive."""
 
     low: int
@@ -164,7 +164,7 @@
         return text
 
 
-def shown(value: object) -> str:
+def format_value(value: object) -> str:
     """Return a value for an error message, truncated to a readable length."""
     text = repr(value)
     if len(text) <= MAX_TEXT_SHOWN:
@@ -172,7 +172,7 @@
     return text[:MAX_TEXT_SHOWN] + "..."
 
 
-def nearest(word: str, known: Iterable[str]) -> str:
+def suggest_nearest(word: str, known: Iterable[str]) -> str:
     """Return a hint with the known word that is most similar, or all of them."""
     known = sorted(str(one) for one in known)
     close = get_close_matches(word, known, n=1)
--- a/kumquatshift/measures/allowances.py
+++ b/kumquatshift/measures/allowances.py
@@ -11,7 +11,7 @@
 
 from tabulate import tabulate
 
-from ..engine.allowance import Allowance
+from ..engine.concurrency_limiter import ConcurrencyLimiter
 from ..engine.objects import Target
 from ..engine.priority import Claim
 from ..engine.slots import Granted, Outcome, Rejected, Rejection, SlotPool
@@ -54,9 +54,9 @@
         """Grant the next target."""
         self.next_index += 1
         target = self.targets[self.next_index % len(self.targets)]
-        return Granted(claim.ticket, target.name)
+        return Granted(claim.claim_id, target.name)
 
-    def release(self, ticket, outcome, now, max_age_s=0.0):
+    def release(self, claim_id, outcome, now, max_age_s=0.0):
         """Ignore the outcome."""
         return []
 
@@ -94,14 +94,14 @@
             for target in self.targets
         ]
         if self.rng.random() > sum(capacities) / rate:
-            return Rejected(claim.ticket, Rejection.QUEUE_FULL, 1.0)
+            return Rejected(claim.claim_id, Rejection.QUEUE_FULL, 1.0)
         target = self.rng.choices(self.targets, capacities)[0]
-        self.leases[claim.ticket] = (target.name, now)
-        return Granted(claim.ticket, target.name)
+        self.leases[claim.claim_id] = (target.name, now)
+        return Granted(claim.claim_id, target.name)
 
-    def release(self, ticket, outcome, now, max_age_s=0.0):
+    def release(self, claim_id, outcome, now, max_age_s=0.0):
         """Record the slot time that the request took."""
-        name, since = self.leases.pop(ticket)
+        name, since = self.leases.pop(claim_id)
         cost_s = min(1.0, now - since) if outcome is Outcome.GOOD else 1.0
         self.sums[name] += cost_s
         self.counts[name] += 1
@@ -126,7 +126,7 @@
         return max(low, 1e-3)
 
 
-class ConfidenceLimiter(Allowance):
+class ConfidenceLimiter(ConcurrencyLimiter):
     """Raises the limit only if a confidence bound shows that the target can take it.
 
     It is the lower confidence bound on the probability that a request at the
@@ -134,19 +134,21 @@
     `MIN_BOUND_TO_GROW`.
     """
 
-    def good(self, service: str, latency_s: float, peers_s: float, now: float):
+    def record_success(
+        self, service: str, latency_s: float, peer_latency_s: float, now: float
+    ):
         """Record a success; raise the limit by one if the bound allows it."""
-        seen = self.good_in_row
-        super().good(service, latency_s, peers_s, now)
-        if self.good_in_row > seen and self._bound() < MIN_BOUND_TO_GROW:
+        seen = self.consecutive_successes
+        super().record_success(service, latency_s, peer_latency_s, now)
+        if self.consecutive_successes > seen and self._bound() < MIN_BOUND_TO_GROW:
             return
-        self.limit = min(self.ceiling, self.limit + (self.good_in_row > seen))
+        self.limit = min(self.ceiling, self.limit + (self.consecutive_successes > seen))
 
-    def _seems_warm(self, peers_s, now):
+    def _seems_warm(self, peer_latency_s, now):
         return False
 
     def _bound(self):
-        answers = max(2, self.good_in_row)
+        answers = max(2, self.consecutive_successes)
         return math.exp(-math.log(answers) / answers)
 
 
@@ -294,7 +296,7 @@
     cold.make_cold()
     for pool in model.pools:
         if isinstance(pool, SlotPool):
-            pool.renew("h0", 0.0)
+            pool.reset_host("h0", 0.0)
     model.offer(Load(SERVICE, 0.7 * CAPACITY, 0.0, RUN_S))
     model.run(RUN_S)
     return model
--- a/kumquatshift/measures/load_model.py
+++ b/kumquatshift/measures/load_model.py
@@ -260,17 +260,17 @@
             verdict = self.pools[pool].claim(claim, self.timeline.now, wait=wait)
             if not isinstance(verdict, Rejected):
                 break
-        self._waiting[claim.ticket] = req
+        self._waiting[claim.claim_id] = req
         self._handle_verdicts([verdict])
 
     def _handle_verdicts(self, verdicts):
         for verdict in verdicts:
             if isinstance(verdict, Granted):
-                req = self._waiting.pop(verdict.ticket)
+                req = self._waiting.pop(verdict.claim_id)
                 req.target = verdict.target
                 self.timeline.call_later(self.hops * HOP_LATENCY_S, self._send, req)
             elif isinstance(verdict, Rejected):
-                req = self._waiting.pop(verdict.ticket)
+                req = self._waiting.pop(verdict.claim_id)
                 self._count(req, "refused")
 
     def _send(self, req):
@@ -296,9 +296,9 @@
         else:
             self._count(req, "lost" if outcome is Outcome.LOST else "shed")
         max_age_s = SHED_MAX_AGE_S if outcome is Outcome.SHED else 0.0
-        ticket = b"%d" % req.number
+        claim_id = b"%d" % req.number
         pool = self.pools[req.owner]
-        self._handle_verdicts(pool.release(ticket, outcome, now, max_age_s))
+        self._handle_verdicts(pool.release(claim_id, outcome, now, max_age_s))
 
     def _count(self, req, outcome_name):
         tally = self.tallies[req.service]
--- a/kumquatshift/measures/naive_requests.py
+++ b/kumquatshift/measures/naive_requests.py
@@ -7,8 +7,8 @@
 from types import SimpleNamespace
 
 from ..engine import coap
-from ..engine.datagrams import answer_packet, read_datagram
-from ..engine.decisions import Cause, Pass, Refuse, Return
+from ..engine.datagrams import packet_to_caller, read_datagram
+from ..engine.decisions import Cause, ForwardToTarget, Refuse, ReturnToCaller
 from ..errors import ErrorKind
 
 TRY_TIMEOUT_S = 1.0
@@ -43,13 +43,13 @@
         req.target = self.targets[next(self.next) % len(self.targets)]
         req.tries += 1
         req.due = now + TRY_TIMEOUT_S
-        return [Pass(req.target, req.packet)]
+        return [ForwardToTarget(req.target, req.packet)]
 
     def response(self, flow, packet, now):
         """Pass any response of a target to the caller."""
         header = coap.read_header(read_datagram(packet).unwrap().payload).unwrap()
         self.open.pop((flow, header.token), None)
-        return [Return(packet)]
+        return [ReturnToCaller(packet)]
 
     def adopt(self, service, record, now):
         """Accept every record of another entry."""
@@ -66,6 +66,6 @@
                 continue
             del self.open[flow, token]
             text = coap.refusal(req.header, ErrorKind.NOT_RUN, "not run")
-            data = answer_packet(flow, text)
+            data = packet_to_caller(flow, text)
             decisions.append(Refuse(ErrorKind.NOT_RUN, Cause.EXPIRED_SENT, data))
         return decisions
--- a/kumquatshift/measures/packet_lanes.py
+++ b/kumquatshift/measures/packet_lanes.py
@@ -162,7 +162,7 @@
         asyncio.set_event_loop(None)
 
     def insert_flows(self, packets: list[bytes]) -> None:
-        """Replace the flow table with the flows of these packets, as `proven` ones."""
+        """Replace the flow table with the flows of these packets, as `fully_replicated` ones."""
         node = self.engine.node
         now = node.clock.seconds()
         table, targets = node.flows, sorted(node.store.targets)
@@ -174,8 +174,8 @@
             record = Record(key, target, SERVICE_VERSION, int(now * 1000))
             flow = table.put(record, bucket_of(key), now)
             flow.holders = node.members.ring.holders(flow.bucket)
-            flow.placed_at = now
-            flow.proven = True
+            flow.replicated_at = now
+            flow.fully_replicated = True
             self._keep_running(number)
 
     def flows_of_primary(self, number: int) -> list[bytes]:
--- a/kumquatshift/measures/request_site.py
+++ b/kumquatshift/measures/request_site.py
@@ -12,7 +12,12 @@
 from aiocoap.numbers.types import Type
 from twisted.internet.task import Clock
 
-from ..engine.decisions import Forward, Pass, Refuse, Return
+from ..engine.decisions import (
+    ForwardToTarget,
+    Refuse,
+    ReplicateAndForward,
+    ReturnToCaller,
+)
 from ..engine.messages import Record
 from ..engine.objects import Mode, Profile, Target
 from ..engine.requests import RequestPolicy
@@ -103,15 +108,15 @@
         """Return whether this entry is the primary."""
         return self.primary() is self
 
-    def is_certain(self, flow):
+    def has_quorum(self, flow):
         """Return whether this entry and others form a quorum of the three holders.
 
         This entry has to be a holder, and the members of the quorum have to be
         reachable and past their quiet time.
         """
         is_holder = self in self.site.entries[:HOLDERS]
-        witnesses = len(self.holders()) + self.is_quiet_time_over()
-        return is_holder and witnesses >= QUORUM
+        voters = len(self.holders()) + self.is_quiet_time_over()
+        return is_holder and voters >= QUORUM
 
     def tick(self):
         """Run the timers of the policy."""
@@ -144,22 +149,22 @@
     def execute(self, decisions):
         """Execute the decisions of the policy."""
         for decision in decisions:
-            if isinstance(decision, Return):
+            if isinstance(decision, ReturnToCaller):
                 self.to_caller(decision.data)
-            elif isinstance(decision, Pass):
+            elif isinstance(decision, ForwardToTarget):
                 self.to_target(decision.target, decision.data)
-            elif isinstance(decision, Forward) or (
-                isinstance(decision, Refuse) and decision.note
+            elif isinstance(decision, ReplicateAndForward) or (
+                isinstance(decision, Refuse) and decision.record_fields
             ):
-                note = decision.note
+                record_fields = decision.record_fields
                 record = Record(
-                    note.key,
-                    note.target,
+                    record_fields.key,
+                    record_fields.target,
                     1,
-                    note.born_ms,
-                    note.epoch,
+                    record_fields.born_ms,
+                    record_fields.epoch,
                     False,
-                    note.detail,
+                    record_fields.detail,
                 )
                 self.forward_through(self.holders(), record, decision.data, first=True)
             elif isinstance(decision, Refuse):
--- a/kumquatshift/platform/entry.py
+++ b/kumquatshift/platform/entry.py
@@ -10,9 +10,9 @@
 from typing import TYPE_CHECKING
 
 from ..adapters.epoll import EpollReactor
-from ..adapters.http_pages import PageAnswer, PageServer
+from ..adapters.http_server import PageResponse, PageServer
 from ..direct.events import Event
-from ..direct.feed import Feed, Pace
+from ..direct.feed import Feed, FeedTiming
 from ..direct.lifecycle import Lifecycle
 from ..direct.placement import Placement
 from ..direct.settings import DirectSettings, SettingsError
@@ -21,14 +21,14 @@
 from ..direct.warmup import Warmup
 from ..eventlog import EventLog
 from . import objects
+from .feed_listeners import feed_listeners
 from .packets import flow_text
 from .port import PacketPort
 from .store import StoreReader
-from .takers import takers
 
 if TYPE_CHECKING:
     from ..adapters.entry_metrics import EntryMetrics
-    from ..adapters.neighbours import Neighbours
+    from ..adapters.peer_service import PeerService
 
 # Delay before contacting peers, so that packets queued during startup are forwarded
 # first.
@@ -84,7 +84,7 @@
         self._readers: dict[str, StoreReader] = {}
         self._feeds: dict[str, Feed] = {}
         self._warmup = warmup
-        self._peering: Neighbours | None = None
+        self._peering: PeerService | None = None
         self._port = PacketPort(reactor, sock, self._steering, self._log)
         self._accepts_packets = False
 
@@ -92,10 +92,12 @@
         """Open all ports and start reading the store."""
         pages = {
             READY_PATH: self._ready_page,
-            METRICS_PATH: lambda query: PageAnswer(
+            METRICS_PATH: lambda query: PageResponse(
                 200, self._load_metrics().metrics_page()
             ),
-            DUMP_PATH: lambda query: PageAnswer(200, self._load_metrics().dump_page()),
+            DUMP_PATH: lambda query: PageResponse(
+                200, self._load_metrics().dump_page()
+            ),
         }
         PageServer(self._reactor, self._settings.readiness, pages)
         host, _ = self._settings.readiness
@@ -117,9 +119,9 @@
     def _read_store(self) -> None:
         bounds = self._settings.bounds
         shortest_s = min(bounds.drain_s, bounds.config_s, bounds.evacuate_s)
-        self._pace = Pace.from_bounds(bounds.stable_window_s, shortest_s)
-        for kind, taker in takers(self._site, self._log).items():
-            feed = self._feeds[kind] = Feed(kind, self._pace, taker, self._log)
+        self._timing = FeedTiming.from_bounds(bounds.stable_window_s, shortest_s)
+        for kind, listener in feed_listeners(self._site, self._log).items():
+            feed = self._feeds[kind] = Feed(kind, self._timing, listener, self._log)
             feed.on_update = self._announce_update
             reader = StoreReader(self._reactor, self._settings.store, feed)
             self._readers[kind] = reader
@@ -131,18 +133,18 @@
     def _start_peering(self) -> None:
         """Start exchanging heartbeats with peers, and read updates from them."""
         if self._peering is None:
-            from .meeting import start_peering  # noqa: PLC0415 (not needed to forward)
+            from .peering import start_peering  # noqa: PLC0415 (not needed to forward)
 
             self._peering = start_peering(
                 self._reactor,
                 self._settings,
-                self._steering.suspicion,
+                self._steering.failure_detector,
                 self._feeds,
                 self._warmup,
                 self._lifecycle,
                 self._log,
             )
-        self._peering.follow(self._feeds, self._readers, self._pace)
+        self._peering.follow(self._feeds, self._readers, self._timing)
 
     def _announce_update(self) -> None:
         """Announce new revisions to peers; accept packets once the site is known."""
@@ -153,19 +155,19 @@
             self._port.open()
             self._reactor.callLater(PEERING_DELAY_S, self._start_peering)
 
-    def _ready_page(self, query: bytes) -> PageAnswer:
+    def _ready_page(self, query: bytes) -> PageResponse:
         ready = self._site.is_known and not self._lifecycle.is_stopping
         if ready != self._was_ready:
             self._was_ready = ready
             self._log.emit(Event.READY if ready else Event.UNREADY)
-        return PageAnswer(200 if ready else 503)
+        return PageResponse(200 if ready else 503)
 
     def _load_metrics(self) -> EntryMetrics:
         """Return metrics and dump pages; imports their dependencies on first use."""
         if self._metrics is None:
             from ..adapters import entry_metrics  # noqa: PLC0415 (see its module)
 
-            sources = entry_metrics.Sources(
+            sources = entry_metrics.MetricSources(
                 name=self._settings.name,
                 site=self._site,
                 steering=self._steering,
@@ -244,7 +246,7 @@
             self._log.emit(Event.STOPPING, flows=len(self._steering.flows))
             self._lifecycle.begin_stop(self._reactor.seconds())
             if self._peering is not None:
-                self._peering.beat_now()
+                self._peering.send_heartbeat_now()
             self._check_stop()
 
     def _check_stop(self) -> None:
--- a/kumquatshift/platform/takers.py
+++ b/kumquatshift/platform/feed_listeners.py
@@ -15,7 +15,7 @@
     from ..direct.feed import FeedListener
 
 
-def takers(site: Site, events: EventSink) -> dict[str, FeedListener]:
+def feed_listeners(site: Site, events: EventSink) -> dict[str, FeedListener]:
     """Return the listener for each kind of object."""
     return {
         objects.CONFIGURATIONS: ConfigurationListener(site, events),
@@ -31,17 +31,19 @@
         self._site = site
         self._events = events
 
-    def take_list(self, items: tuple[Item, ...], after_loss: bool, now: float) -> None:
+    def handle_list(
+        self, items: tuple[Item, ...], after_loss: bool, now: float
+    ) -> None:
         """Apply the configuration if it exists."""
         for item in items:
             self._apply(item)
 
-    def take_change(self, change: Change, now: float) -> None:
+    def handle_change(self, change: Change, now: float) -> None:
         """Apply a new configuration."""
         if not change.is_deleted:
             self._apply(change.item)
 
-    def note_loss(self, now: float) -> None:
+    def handle_store_loss(self, now: float) -> None:
         """Do nothing: the last known state stays in effect."""
 
     def _apply(self, item: Item) -> None:
@@ -62,14 +64,16 @@
         self._site = site
         self._events = events
 
-    def take_list(self, items: tuple[Item, ...], after_loss: bool, now: float) -> None:
+    def handle_list(
+        self, items: tuple[Item, ...], after_loss: bool, now: float
+    ) -> None:
         """Apply the full list of targets; unreadable reports are left out."""
         if after_loss:
             self._site.note_relisting(now)
         reports = [self._report(item) for item in items]
         self._site.list_targets([r for r in reports if r is not None], now)
 
-    def take_change(self, change: Change, now: float) -> None:
+    def handle_change(self, change: Change, now: float) -> None:
         """Apply a change of one target; an unreadable report removes it."""
         report = None if change.is_deleted else self._report(change.item)
         if report is None:
@@ -77,7 +81,7 @@
         else:
             self._site.put_target(report, now)
 
-    def note_loss(self, now: float) -> None:
+    def handle_store_loss(self, now: float) -> None:
         """Give live targets time to be listed again."""
         self._site.note_relisting(now)
 
@@ -95,16 +99,18 @@
     def __init__(self, site: Site):
         self._site = site
 
-    def take_list(self, items: tuple[Item, ...], after_loss: bool, now: float) -> None:
+    def handle_list(
+        self, items: tuple[Item, ...], after_loss: bool, now: float
+    ) -> None:
         """Apply the full list of evacuated domains."""
         self._site.list_evacuations(item.name for item in items)
 
-    def take_change(self, change: Change, now: float) -> None:
+    def handle_change(self, change: Change, now: float) -> None:
         """Apply that a domain is evacuated or returned."""
         if change.is_deleted:
             self._site.restore_domain(change.item.name)
         else:
             self._site.evacuate(change.item.name)
 
-    def note_loss(self, now: float) -> None:
+    def handle_store_loss(self, now: float) -> None:
         """Do nothing: the last known state stays in effect."""
--- a/kumquatshift/platform/journal.py
+++ b/kumquatshift/platform/journal.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True)
-class Demand:
+class RequestClass:
     """One class of requests, with what an outage costs it; times in seconds."""
 
     share: float
@@ -92,7 +92,7 @@
     return found
 
 
-def site_days(path: Path) -> tuple[tuple[SiteDay, ...], tuple[Demand, ...]]:
+def site_days(path: Path) -> tuple[tuple[SiteDay, ...], tuple[RequestClass, ...]]:
     """Read the standard days and the request classes from a site file."""
     site = tomllib.loads(path.read_text(encoding="utf-8"))
     days = []
@@ -105,7 +105,7 @@
     return tuple(days), _request_classes(site)
 
 
-def _request_classes(site: dict) -> tuple[Demand, ...]:
+def _request_classes(site: dict) -> tuple[RequestClass, ...]:
     counts: dict[str, float] = {}
     for traffic in site["traffic"]:
         total = sum(traffic["mix"].values())
@@ -114,7 +114,7 @@
     worths = {kind["name"]: kind["worth"] for kind in site["classes"]}
     total_worth = sum(counts[name] * worths[name] for name in counts)
     return tuple(
-        Demand(
+        RequestClass(
             share=counts[kind["name"]] * kind["worth"] / total_worth,
             aim_s=kind["aim_ms"] / 1000,
             deadline_s=kind["deadline_ms"] / 1000,
--- a/kumquatshift/platform/objects.py
+++ b/kumquatshift/platform/objects.py
@@ -8,7 +8,7 @@
 from ..direct.calls import Change, Changes, Item, Page
 from ..direct.routes import Configuration, Route, ServiceLimits, Share
 from ..direct.targets import Report
-from .packets import place_of
+from .packets import encode_destination
 
 CONFIGURATIONS = "config"
 TARGETS = "servers"
@@ -76,7 +76,7 @@
             address=(host, _within(int(port), 1, 65_535)),
             slots=_within(spec["maxConcurrency"], 1, 1_000_000),
             drains=DRAINING_BY_STATE[spec["state"]],
-            warms_for_s=warms_for_ms / 1000,
+            warmup_left_s=warms_for_ms / 1000,
         )
     except (ValueError, TypeError, KeyError, AttributeError, OSError) as exc:
         raise UnreadableError(f"invalid target {name!r}: {exc!r}") from exc
@@ -94,7 +94,7 @@
     port = int(wire["pathPrefix"].strip("/"))
     split = wire.get("trafficSplit") or [{"service": wire["service"], "weight": 1}]
     shares = tuple(Share(_text(s["service"]), float(s["weight"])) for s in split)
-    destination = place_of(wire["host"], port)
+    destination = encode_destination(wire["host"], port)
     return Route(str(wire["name"]), destination, shares, int(wire.get("priority", 0)))
 
 
--- a/kumquatshift/platform/packets.py
+++ b/kumquatshift/platform/packets.py
@@ -69,7 +69,7 @@
     return f"{_dotted(src)}:{sport}>{_dotted(dst)}:{dport}"
 
 
-def place_of(host: str, port: int) -> bytes:
+def encode_destination(host: str, port: int) -> bytes:
     """Encode an address and port as in a packet header."""
     return socket.inet_aton(host)[::-1] + port.to_bytes(2, "little")
 
--- a/kumquatshift/platform/meeting.py
+++ b/kumquatshift/platform/peering.py
@@ -2,37 +2,37 @@
 
 from __future__ import annotations
 
-from ..adapters.neighbours import Neighbours
+from ..adapters.peer_service import PeerService
 from ..direct.events import EventSink
+from ..direct.failure_detector import FailureDetector
 from ..direct.feed import Feed
 from ..direct.lifecycle import Lifecycle
 from ..direct.members import Member, Members
-from ..direct.news import Handout
+from ..direct.peer_updates import TransferLimiter
 from ..direct.settings import DirectSettings
-from ..direct.suspicion import Suspicion
 from ..direct.warmup import Warmup
 
 
 def start_peering(
     reactor,
     settings: DirectSettings,
-    suspicion: Suspicion,
+    failure_detector: FailureDetector,
     feeds: dict[str, Feed],
     warmup: Warmup,
     lifecycle: Lifecycle,
     events: EventSink,
-) -> Neighbours:
+) -> PeerService:
     """Open the peer port and start exchanging heartbeats."""
     me = Member(settings.name, settings.domain, settings.peers)
     members = Members(me, settings.seeds, events)
-    peering = Neighbours(
+    peering = PeerService(
         reactor,
         members,
-        suspicion,
+        failure_detector,
         feeds,
         warmup,
         lifecycle,
-        Handout(settings.link_bytes_per_s),
+        TransferLimiter(settings.link_bytes_per_s),
     )
     peering.start()
     return peering
--- a/kumquatshift/platform/store.py
+++ b/kumquatshift/platform/store.py
@@ -9,9 +9,9 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from ..adapters.http_call import CallFailure, HttpCaller, Response
-from ..adapters.http_pages import BUSY_STATUS
-from ..direct.calls import Failure, ListCall, NewsCall, WatchCall
+from ..adapters.http_client import CallFailure, HttpConnection, Response
+from ..adapters.http_server import BUSY_STATUS
+from ..direct.calls import Failure, ListCall, PeerUpdateCall, WatchCall
 from ..direct.feed import Feed
 from .objects import changes_from, page_from
 
@@ -38,10 +38,10 @@
 
     def __init__(self, reactor, address: tuple[str, int], feed: Feed):
         self._reactor = reactor
-        self._caller = HttpCaller(reactor, address)
+        self._caller = HttpConnection(reactor, address)
         self._feed = feed
         self.codec: NewsCodec | None = None
-        self._peer: HttpCaller | None = None
+        self._peer: HttpConnection | None = None
         self.outcomes: dict[str, int] = {}
         self.call_latencies: deque[float] = deque(maxlen=MAX_LATENCY_SAMPLES)
         self._call_started_at = 0.0
@@ -80,42 +80,44 @@
         if call is None:
             self._is_following = True
             self._schedule(FOLLOW_POLL_S)
-        elif isinstance(call, NewsCall):
+        elif isinstance(call, PeerUpdateCall):
             self._call_peer(call)
         else:
             self._call_started_at = self._reactor.seconds()
             done = self._on_list if isinstance(call, ListCall) else self._on_watch
             self._caller.call("GET", request_path(call), b"", call.timeout_s, done)
 
-    def _call_peer(self, call: NewsCall) -> None:
+    def _call_peer(self, call: PeerUpdateCall) -> None:
         """Call a peer; its connection is kept open for the next call."""
         if self._peer is None or self._peer.address != call.address:
             if self._peer is not None:
                 self._peer.close()
-            self._peer = HttpCaller(self._reactor, call.address)
+            self._peer = HttpConnection(self._reactor, call.address)
         path = self.codec.path(call.kind, call.since)
         self._peer.call("GET", path, b"", call.timeout_s, self._on_peer_answer)
 
     def _on_peer_answer(self, answer: Response | CallFailure) -> None:
         if isinstance(answer, Response) and answer.status == BUSY_STATUS:
-            self._feed.take_news_busy(self._reactor.seconds())
+            self._feed.handle_peer_busy(self._reactor.seconds())
             self._schedule_next()
             return
         feed = self._feed
         self._handle_answer(
-            answer, self.codec.decode, feed.take_news, feed.take_news_failure
+            answer, self.codec.decode, feed.handle_peer_update, feed.handle_peer_failure
         )
 
     def _on_list(self, answer: Response | CallFailure) -> None:
         self._count(answer)
         self.call_latencies.append(self._reactor.seconds() - self._call_started_at)
         feed = self._feed
-        self._handle_answer(answer, page_from, feed.take_page, feed.take_failure)
+        self._handle_answer(answer, page_from, feed.handle_page, feed.handle_failure)
 
     def _on_watch(self, answer: Response | CallFailure) -> None:
         self._count(answer)
         feed = self._feed
-        self._handle_answer(answer, changes_from, feed.take_changes, feed.take_failure)
+        self._handle_answer(
+            answer, changes_from, feed.handle_changes, feed.handle_failure
+        )
 
     def _handle_answer(
         self,
--- a/kumquatshift/platform_port.py
+++ b/kumquatshift/platform_port.py
@@ -43,9 +43,9 @@
 
 @dataclass(frozen=True)
 class Conflict(Failure):
-    """Another write came first; ``standing`` is the current object, if any."""
+    """Another write came first; ``current`` is the current object, if any."""
 
-    standing: Versioned | None = None
+    current: Versioned | None = None
 
 
 @dataclass(frozen=True)
--- a/kumquatshift/settings/bench.py
+++ b/kumquatshift/settings/bench.py
@@ -7,7 +7,7 @@
 from .declare import key, section, user_defined_keys
 from .problems import Problem
 from .read import ProgramSettings
-from .values import Listener, ListenerLine, Number, Whole
+from .values import Integer, Listener, ListenerLine, Number
 
 MAX_SEED = 2**32 - 1
 
@@ -20,16 +20,16 @@
         Number(1, 3600), "Duration of the run.", default="25", unit="seconds"
     )
     seed: int = key(
-        Whole(0, MAX_SEED),
+        Integer(0, MAX_SEED),
         "Seed of the random number generators of the load.",
         default="1",
     )
     callers: int = key(
-        Whole(0, 1000),
+        Integer(0, 1000),
         "Number of callers; each sends one request at a time.",
         default="20",
     )
-    watches: int = key(Whole(0, 10_000), "Number of watches kept open.", default="10")
+    watches: int = key(Integer(0, 10_000), "Number of watches kept open.", default="10")
     interval_s: float = key(
         Number(0.01, 60),
         "Interval between the requests of one caller.",
@@ -45,13 +45,13 @@
         default="0.05",
     )
     big_bytes: int = key(
-        Whole(1, 1_048_576),
+        Integer(1, 1_048_576),
         "Size of a block-wise response.",
         default="4096",
         unit="bytes",
     )
     work_ms: int = key(
-        Whole(0, 60_000),
+        Integer(0, 60_000),
         "Processing time of a request at its target.",
         default="5",
         unit="milliseconds",
--- a/kumquatshift/settings/entry.py
+++ b/kumquatshift/settings/entry.py
@@ -8,7 +8,7 @@
 from .declare import key, section
 from .problems import Problem
 from .read import CrossCheck, ProgramSettings
-from .values import Ipv4, Ipv4List, Name, Number, Whole, port
+from .values import Integer, Ipv4, Ipv4List, Name, Number, port
 
 
 @dataclass(frozen=True)
@@ -82,13 +82,13 @@
     """Limits on bandwidth and memory."""
 
     control_bytes_per_s: int = key(
-        Whole(256, 1_000_000),
+        Integer(256, 1_000_000),
         "Bandwidth limit of the traffic to other entries outside the packet path.",
         default="4096",
         unit="bytes a second",
     )
     max_flows: int = key(
-        Whole(100, 10_000_000),
+        Integer(100, 10_000_000),
         "Maximum number of flows held; beyond it new flows are refused.",
         default="500000",
         unit="flows",
--- a/kumquatshift/settings/standins.py
+++ b/kumquatshift/settings/standins.py
@@ -8,6 +8,7 @@
 from .read import ProgramSettings
 from .values import (
     FilePath,
+    Integer,
     Ipv4,
     Listener,
     ListenerLine,
@@ -15,7 +16,6 @@
     Number,
     Vm,
     VmLine,
-    Whole,
     port,
 )
 
@@ -37,7 +37,7 @@
         unit="seconds",
     )
     history: int = key(
-        Whole(1, 10_000_000),
+        Integer(1, 10_000_000),
         "Number of past changes from which a watch can start.",
         default="10000",
         unit="versions",
@@ -93,7 +93,7 @@
         Ipv4(loopback=True), "Address to listen on.", default="127.0.3.1"
     )
     seed: int = key(
-        Whole(0, MAX_SEED),
+        Integer(0, MAX_SEED),
         "Seed of the random choice of an entry for each packet.",
         default="1",
     )
@@ -166,13 +166,13 @@
         port(), "Port that responses are sent to.", default="6081", unit="UDP"
     )
     slots: int = key(
-        Whole(1, 10_000),
+        Integer(1, 10_000),
         "Number of requests processed concurrently.",
         default="2",
         unit="requests",
     )
     backlog: int = key(
-        Whole(0, 100_000),
+        Integer(0, 100_000),
         "Number of requests that may wait; further requests are refused.",
         default="6",
         unit="requests",
@@ -184,7 +184,7 @@
         unit="seconds",
     )
     retry_s: int = key(
-        Whole(0, 3600),
+        Integer(0, 3600),
         "Delay after which a refused caller is asked to retry.",
         default="1",
         unit="seconds",
--- a/kumquatshift/settings/values.py
+++ b/kumquatshift/settings/values.py
@@ -94,7 +94,7 @@
 
 
 @dataclass(frozen=True)
-class Whole:
+class Integer:
     """An integer from ``low`` to ``high``, inclusive."""
 
     low: int
@@ -137,9 +137,9 @@
     return value
 
 
-def port() -> Whole:
+def port() -> Integer:
     """Return the type of a UDP or TCP port."""
-    return Whole(1, MAX_PORT)
+    return Integer(1, MAX_PORT)
 
 
 @dataclass(frozen=True)
--- a/kumquatshift/standins/platform_faults.py
+++ b/kumquatshift/standins/platform_faults.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass, fields, replace
 
-from ..fields import Invalid, Number, Whole
+from ..fields import Integer, Invalid, Number
 
 MAX_DELAY_S = 3600.0
 
@@ -34,7 +34,7 @@
         checks = {
             bool: None,
             float: Number(0, MAX_DELAY_S, "seconds"),
-            int: Whole(0, 1_000_000),
+            int: Integer(0, 1_000_000),
         }
         types = {item.name: item.type for item in fields(self)}
         for key, found in value.items():
--- a/kumquatshift/standins/platform_settings.py
+++ b/kumquatshift/standins/platform_settings.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from dataclasses import asdict, dataclass
 
-from ..fields import shown
+from ..fields import format_value
 
 VM_STATES = ("live", "leaving")
 
@@ -24,13 +24,15 @@
         try:
             return cls.checked(cls(**value))
         except TypeError as exc:
-            raise ValueError(f"{shown(value)}; {exc}") from exc
+            raise ValueError(f"{format_value(value)}; {exc}") from exc
 
     @staticmethod
     def checked(row: "VmRow") -> "VmRow":
         """Return the row if all its fields are text and its state is known."""
         if not all(isinstance(text, str) for text in asdict(row).values()):
-            raise ValueError(f"{shown(asdict(row))}; allowed: text in every field")
+            raise ValueError(
+                f"{format_value(asdict(row))}; allowed: text in every field"
+            )
         if row.state not in VM_STATES:
             raise ValueError(f"state {row.state!r}; allowed: {', '.join(VM_STATES)}")
         return row
--- a/tests/features/steps/admin_steps.py
+++ b/tests/features/steps/admin_steps.py
@@ -7,7 +7,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 from twisted.web.client import ResponseFailed
 
-from kumquatshift.adapters.admin import json_pieces, listen_admin
+from kumquatshift.adapters.admin import json_chunks, listen_admin
 from kumquatshift.logs import setup
 from kumquatshift.settings.common import LogFormat, LogLevel
 from tests.support.fake_source import FakeSource
@@ -61,7 +61,7 @@
 
 @then("no piece of it was larger than {count:d} bytes")
 def step_pieces(context, count):
-    pieces = list(json_pieces(FakeSource("large").dump()))
+    pieces = list(json_chunks(FakeSource("large").dump()))
     assert "".join(pieces) == context.admin_text
     assert max(map(len, pieces)) <= count, max(map(len, pieces))
 
--- a/tests/features/steps/allowance_steps.py
+++ b/tests/features/steps/allowance_steps.py
@@ -24,8 +24,8 @@
 
 
 def claim(context, service="s", pinned=""):
-    ticket = b"%d" % next(context.numbers)
-    wanted = Claim(ticket, service, Priority.NORMAL, context.now + 1000, pinned)
+    claim_id = b"%d" % next(context.numbers)
+    wanted = Claim(claim_id, service, Priority.NORMAL, context.now + 1000, pinned)
     return context.pool.claim(wanted, context.now)
 
 
@@ -88,10 +88,10 @@
     assert isinstance(verdict, Granted), verdict
     if "while" in rest or "after" in rest:
         other = claim(context, pinned="s0" if "after" in rest else "s1")
-        context.pool.release(other.ticket, Outcome.GOOD, context.now + 0.1)
+        context.pool.release(other.claim_id, Outcome.GOOD, context.now + 0.1)
     if outcome is Outcome.GOOD:
         context.now += float(rest[2])
-    context.pool.release(verdict.ticket, outcome, context.now, 1.0)
+    context.pool.release(verdict.claim_id, outcome, context.now, 1.0)
 
 
 @when("{seconds:g} s pass without an answer")
@@ -149,7 +149,7 @@
 
 @when('the domain "{domain}" is out of reach')
 def step_out_of_reach(context, domain):
-    context.pool.cut_off = frozenset({domain})
+    context.pool.unreachable_domains = frozenset({domain})
 
 
 @then("the retired target has only what it had")
--- a/tests/features/steps/answers_steps.py
+++ b/tests/features/steps/answers_steps.py
@@ -2,7 +2,13 @@
 from aiocoap.numbers.types import Type
 from behave import then, when
 
-from kumquatshift.engine.decisions import Discard, Forward, Pass, Refuse, Return
+from kumquatshift.engine.decisions import (
+    Discard,
+    ForwardToTarget,
+    Refuse,
+    ReplicateAndForward,
+    ReturnToCaller,
+)
 from kumquatshift.engine.messages import Record
 from kumquatshift.measures.coap_packets import (
     CALLER,
@@ -24,7 +30,9 @@
     """Send a request; return the packet that goes to a target."""
     decisions = context.single.request(request(code, mid, token, payload, **options))
     keep(context, decisions)
-    return next((each.data for each in decisions if isinstance(each, Forward)), None)
+    return next(
+        (each.data for each in decisions if isinstance(each, ReplicateAndForward)), None
+    )
 
 
 def answer(context, seen, payload, **options):
@@ -38,7 +46,11 @@
 
 
 def returned(context):
-    return [read(each.data) for each in context.decisions if isinstance(each, Return)]
+    return [
+        read(each.data)
+        for each in context.decisions
+        if isinstance(each, ReturnToCaller)
+    ]
 
 
 @when("two answers come crossed")
@@ -91,10 +103,10 @@
 
 
 def retry(context):
-    context.single.policy.dispatcher._budget("s").saved = 1.0
+    context.single.policy.dispatcher._budget("s").tokens = 1.0
     one = send(context)
     decisions = context.single.tick(4.0)
-    assert isinstance(decisions[0], Forward), decisions
+    assert isinstance(decisions[0], ReplicateAndForward), decisions
     return one, decisions[0].data
 
 
@@ -106,7 +118,7 @@
     context.decisions = [
         each
         for each in context.decisions
-        if not isinstance(each, Return) or read(each.data).token == b"\x22"
+        if not isinstance(each, ReturnToCaller) or read(each.data).token == b"\x22"
     ]
 
 
@@ -148,7 +160,9 @@
 @then("each ACK of the caller reaches the target that waits for it")
 def step_acks(context):
     targets = [
-        each.note.target for each in context.decisions if isinstance(each, Forward)
+        each.record_fields.target
+        for each in context.decisions
+        if isinstance(each, ReplicateAndForward)
     ]
     for mid, target in zip(context.shown, targets, strict=True):
         (decision,) = context.single.request(signal(Type.ACK, mid))
@@ -178,8 +192,10 @@
 
 
 def targets_of(context):
-    forwards = [each for each in context.decisions if isinstance(each, Forward)]
-    return [each.note.target for each in forwards]
+    forwards = [
+        each for each in context.decisions if isinstance(each, ReplicateAndForward)
+    ]
+    return [each.record_fields.target for each in forwards]
 
 
 @when("{option} blocks 0 to 5 of one resource are sent with {method}")
@@ -209,10 +225,16 @@
     standby = SinglePolicy(seed=2, warm=False)
     standby.now = context.single.now
     for each in context.decisions:
-        if isinstance(each, Forward):
-            note = each.note
+        if isinstance(each, ReplicateAndForward):
+            record_fields = each.record_fields
             record = Record(
-                note.key, note.target, 1, note.born_ms, note.epoch, False, note.detail
+                record_fields.key,
+                record_fields.target,
+                1,
+                record_fields.born_ms,
+                record_fields.epoch,
+                False,
+                record_fields.detail,
             )
             assert standby.policy.adopt("s", record, standby.now)
     context.single = standby
@@ -298,8 +320,8 @@
 def step_target_lost(context):
     context.watched = send(context, observe=0)
     notify(context)
-    target = context.decisions[0].note.target
-    keep(context, context.single.policy.lose_target(target, context.single.now))
+    target = context.decisions[0].record_fields.target
+    keep(context, context.single.policy.handle_lost_target(target, context.single.now))
 
 
 @then('the caller is told "{text}"')
@@ -380,7 +402,9 @@
         assert read(last.data).code.dotted in what, read(last.data).code
     else:
         kind, _, _, end = what.removeprefix("an ").split()
-        assert isinstance(last, Pass if end == "target" else Return), last
+        assert isinstance(
+            last, ForwardToTarget if end == "target" else ReturnToCaller
+        ), last
         assert read(last.data).mtype == Type[kind]
 
 
@@ -402,4 +426,6 @@
     sent = [send(context, mid=50 + i, token=b"m%d" % i) for i in range(9)]
     assert sum(each is not None for each in sent) == some, sent
     later = context.single.tick(0.2)
-    assert len([each for each in later if isinstance(each, Forward)]) == more, later
+    assert (
+        len([each for each in later if isinstance(each, ReplicateAndForward)]) == more
+    ), later
--- a/tests/features/steps/coap_steps.py
+++ b/tests/features/steps/coap_steps.py
@@ -11,7 +11,7 @@
 
 from kumquatshift.engine import coap
 from kumquatshift.engine.coap import Header
-from kumquatshift.engine.datagrams import answer_packet, read_datagram, with_payload
+from kumquatshift.engine.datagrams import packet_to_caller, read_datagram, with_payload
 from kumquatshift.engine.decisions import Cause
 from kumquatshift.engine.exchanges import Exchange
 from kumquatshift.engine.refusals import Refusals
@@ -53,9 +53,12 @@
         block = decoded.opt.block2
         assert options.observe == decoded.opt.observe
         assert options.block == (block.block_number if block else 0)
-        renamed = Message.decode(coap.renamed(data, b"abc", 77))
-        assert (renamed.token, renamed.mid) == (b"abc", 77)
-        assert renamed.opt == decoded.opt and renamed.payload == decoded.payload
+        rewrite_header = Message.decode(coap.rewrite_header(data, b"abc", 77))
+        assert (rewrite_header.token, rewrite_header.mid) == (b"abc", 77)
+        assert (
+            rewrite_header.opt == decoded.opt
+            and rewrite_header.payload == decoded.payload
+        )
 
     agrees()
 
@@ -134,7 +137,7 @@
         datagram = read_datagram(request(Code.GET, 1, b"")).unwrap()
         expected = packet(payload)
         assert with_payload(datagram, payload) == expected
-        back = dpkt.ip.IP(answer_packet(flow_of(), payload))
+        back = dpkt.ip.IP(packet_to_caller(flow_of(), payload))
         assert (back.src, back.dst) == (datagram.packet[16:20], datagram.packet[12:16])
         assert bytes(back.data.data) == payload and back.data.sum
         again = bytes(back)
--- a/tests/features/steps/direct_news_steps.py
+++ b/tests/features/steps/direct_news_steps.py
@@ -1,6 +1,6 @@
 from behave import given, then, when
 
-from kumquatshift.direct.feed import Pace
+from kumquatshift.direct.feed import FeedTiming
 from tests.support.news_domain import KIND, NewsDomain
 
 STABLE_S = 4.0
@@ -10,7 +10,7 @@
 
 @given("a store with {count:d} objects and bounds of {bound:g} s")
 def step_store(context, count, bound):
-    context.news = domain = NewsDomain(Pace.from_bounds(STABLE_S, bound))
+    context.news = domain = NewsDomain(FeedTiming.from_bounds(STABLE_S, bound))
     for number in range(count):
         domain.store.put(KIND, f"o{number}", 0)
     context.away = []
@@ -89,7 +89,7 @@
 def step_cut_readers(context):
     for node in context.news.readers():
         node.turned_away = "is silent"
-        node.hear = lambda beat: None
+        node.receive_heartbeat = lambda beat: None
         context.away.append(node)
 
 
@@ -126,7 +126,7 @@
 def step_phases(context, count, trouble, seconds):
     context.domains = []
     for phase in range(PHASES):
-        domain = NewsDomain(context.news.pace, seed=phase)
+        domain = NewsDomain(context.news.timing, seed=phase)
         domain.store.put(KIND, "o7", 0)
         domain.add(count)
         domain.run(6 + phase * PHASE_S)
--- a/tests/features/steps/direct_steering_steps.py
+++ b/tests/features/steps/direct_steering_steps.py
@@ -4,9 +4,15 @@
 
 from kumquatshift.direct.flows import FlowTable
 from kumquatshift.direct.packets import Reason
-from kumquatshift.direct.routes import Configuration, Route, RouteTable, Share, share_of
+from kumquatshift.direct.routes import (
+    Configuration,
+    Route,
+    RouteTable,
+    Share,
+    service_for_flow,
+)
 from kumquatshift.direct.targets import Report, TargetTable
-from kumquatshift.platform.packets import ACK, RST, SYN, place_of
+from kumquatshift.platform.packets import ACK, RST, SYN, encode_destination
 from kumquatshift.standins.direct_flows import Head, Outcome
 from tests.support.direct_site import PLACE, DirectSite, load
 
@@ -109,8 +115,8 @@
 
 def craft(site, kind):
     """Return one packet of the kind that an example names."""
-    place = place_of(*(NO_PLACE if "no route" in kind else PLACE))
-    source = place_of("100.64.0.1", 0)[:4]
+    place = encode_destination(*(NO_PLACE if "no route" in kind else PLACE))
+    source = encode_destination("100.64.0.1", 0)[:4]
     port = int.from_bytes(place[4:], "little")
     flags = SYN if "opening" in kind else ACK
     if "an answer" in kind:
@@ -120,7 +126,7 @@
         echo = 0xDEADBEEF
     target = next(iter(site.entries[0].site.targets))
     if "another place" in kind:
-        echo = target.cookie(place_of(*OTHER_PLACE))
+        echo = target.cookie(encode_destination(*OTHER_PLACE))
     if "earlier start" in kind:
         earlier = Report(
             target.name, b"k" * 8, 0, target.service, "a", target.address, 2
@@ -203,8 +209,8 @@
 def step_place(context, count):
     rng = random.Random(5)
     flows = [rng.randbytes(12) for _ in range(count)]
-    context.first = [share_of(context.route, flow) for flow in flows]
-    context.second = [share_of(context.route, flow) for flow in flows]
+    context.first = [service_for_flow(context.route, flow) for flow in flows]
+    context.second = [service_for_flow(context.route, flow) for flow in flows]
 
 
 @then("both place each flow alike, within {margin:g} of the weights")
--- a/tests/features/steps/direct_suspicion_steps.py
+++ b/tests/features/steps/direct_suspicion_steps.py
@@ -1,9 +1,9 @@
 from behave import given, then, when
 
-from kumquatshift.direct import suspicion
+from kumquatshift.direct import failure_detector
 from kumquatshift.direct.events import Event
-from kumquatshift.direct.suspicion import Suspect
-from kumquatshift.platform.packets import ACK, FIN, place_of
+from kumquatshift.direct.failure_detector import Suspect
+from kumquatshift.platform.packets import ACK, FIN, encode_destination
 from kumquatshift.standins.direct_flows import Outcome
 from tests.support.direct_site import PLACE, load
 
@@ -19,9 +19,9 @@
 
 @given("its entries suspect nobody")
 def step_nobody(context):
-    old = suspicion.Suspicion.note_repeat
-    suspicion.Suspicion.note_repeat = lambda self, flow, now: None
-    context.add_cleanup(setattr, suspicion.Suspicion, "note_repeat", old)
+    old = failure_detector.FailureDetector.note_repeat
+    failure_detector.FailureDetector.note_repeat = lambda self, flow, now: None
+    context.add_cleanup(setattr, failure_detector.FailureDetector, "note_repeat", old)
 
 
 @when("the first target falls silent")
@@ -167,18 +167,22 @@
     def share():
         now = site.clock.seconds()
         told = [
-            (each, each.steering.suspicion.suspects(now), each.steering.suspicion)
+            (
+                each,
+                each.steering.failure_detector.suspects(now),
+                each.steering.failure_detector,
+            )
             for each in site.entries
         ]
         for entry in site.entries:
-            hearing = entry.steering.suspicion
+            hearing = entry.steering.failure_detector
             for number, (other, suspects, telling) in enumerate(told):
                 if other is entry:
                     continue
                 for suspect in suspects:
-                    hearing.hear_suspect(suspect, f"entry-{number}", now)
-                for answering in telling.objections(now):
-                    hearing.hear_answering(answering, now)
+                    hearing.receive_suspect(suspect, f"entry-{number}", now)
+                for refutation in telling.refutations(now):
+                    hearing.receive_refutation(refutation, now)
         site.clock.callLater(0.1, share)
 
     share()
@@ -233,7 +237,7 @@
     suspect = Suspect(target.name, target.incarnation, flows, 1.5)
     now = context.direct.clock.seconds()
     for number in range(count):
-        entry.steering.suspicion.hear_suspect(suspect, f"entry-{number}", now)
+        entry.steering.failure_detector.receive_suspect(suspect, f"entry-{number}", now)
 
 
 @when("after {seconds:g} s a flow of the first target has its next packet")
@@ -306,12 +310,12 @@
     site.run(seconds, 0.01)
     # Its other packets went through another entry, while the target lived.
     ((_, flow),) = site.entries[0].steering.flows._flows.items()
-    caller._echo = flow.target.cookie(place_of(*PLACE))
+    caller._echo = flow.target.cookie(encode_destination(*PLACE))
     caller._packet(FIN | ACK)
     site.run(0.1, 0.01)
 
 
 @then("no target has been seen to answer since")
 def step_no_answer_seen(context):
-    seen = [t.progress_at for t in context.direct.entries[0].site.targets]
+    seen = [t.last_answer_at for t in context.direct.entries[0].site.targets]
     assert max(seen) <= context.since, seen
--- a/tests/features/steps/direct_troubles_steps.py
+++ b/tests/features/steps/direct_troubles_steps.py
@@ -2,7 +2,7 @@
 
 from kumquatshift.direct.events import Event
 from kumquatshift.direct.routes import Configuration, Route, ServiceLimits, Share
-from kumquatshift.platform.packets import place_of
+from kumquatshift.platform.packets import encode_destination
 from kumquatshift.standins.direct_flows import Outcome
 from tests.support.direct_site import PLACE, SERVICE, STEP_S
 
@@ -80,8 +80,8 @@
 def step_second(context, count):
     site = context.direct
     routes = (
-        Route("r0", place_of(*PLACE), (Share(SERVICE, 1),)),
-        Route("r1", place_of(*SECOND_PLACE), (Share(SECOND_SERVICE, 1),)),
+        Route("r0", encode_destination(*PLACE), (Share(SERVICE, 1),)),
+        Route("r1", encode_destination(*SECOND_PLACE), (Share(SECOND_SERVICE, 1),)),
     )
     limits = tuple(ServiceLimits(each, 0.0, 2000) for each in (SERVICE, SECOND_SERVICE))
     site.cfg = Configuration(2, routes, 15.0, limits)
--- a/tests/features/steps/errors_steps.py
+++ b/tests/features/steps/errors_steps.py
@@ -1,8 +1,8 @@
 from behave import then
 
-from kumquatshift.errors import ANSWERS, ErrorKind
+from kumquatshift.errors import ERROR_CODES, ErrorKind
 
 
 @then("every error kind has exactly one answer")
 def step_every_kind_answered(context):
-    assert set(ANSWERS) == set(ErrorKind)
+    assert set(ERROR_CODES) == set(ErrorKind)
--- a/tests/features/steps/eventlog_steps.py
+++ b/tests/features/steps/eventlog_steps.py
@@ -7,7 +7,7 @@
 
 from kumquatshift.direct.events import Event
 from kumquatshift.eventlog import MAX_BUFFERED_BYTES, EventLog
-from kumquatshift.platform.packets import flow_text, place_of
+from kumquatshift.platform.packets import encode_destination, flow_text
 
 LINE_BYTES = 512
 
@@ -97,8 +97,8 @@
 def step_flow(context, caller, place):
     host, port = caller.split(":")
     at, at_port = place.split(":")
-    there = place_of(at, int(at_port))
-    here = place_of(host, int(port))
+    there = encode_destination(at, int(at_port))
+    here = encode_destination(host, int(port))
     flow = there[4:] + here[:4] + here[4:] + there[:4]
     context.eventlog.emit(Event.FLOW_OPENED, flow=flow, target="i-7")
 
--- a/tests/features/steps/news_codec_steps.py
+++ b/tests/features/steps/news_codec_steps.py
@@ -6,7 +6,7 @@
 from hypothesis import given as drawn, settings, strategies as st
 
 from kumquatshift.adapters.peers import NewsCodec, UnreadableNewsError
-from kumquatshift.direct.calls import Change, Item, NewsAnswer, Tick
+from kumquatshift.direct.calls import Change, FeedStatus, Item, PeerUpdate
 
 FOLLOWERS = 11
 SINCE = 40
@@ -29,7 +29,9 @@
         ],
     }
     change = Change(Item("main", changed, value), False)
-    return NewsAnswer(False, (), (change,), Tick("config", True, 3, changed, 60, age_s))
+    return PeerUpdate(
+        False, (), (change,), FeedStatus("config", True, 3, changed, 60, age_s)
+    )
 
 
 @given("news of a configuration with {routes:d} routes")
@@ -73,7 +75,7 @@
 
 @then("these ages are read again")
 def step_ages_read(context):
-    assert [news.tick.age_s for news in context.read] == context.ages
+    assert [news.status.age_s for news in context.read] == context.ages
 
 
 @when("a route is added and it is written again")
--- a/tests/features/steps/platform_entry_steps.py
+++ b/tests/features/steps/platform_entry_steps.py
@@ -13,7 +13,7 @@
 from behave import given, then, when
 
 from kumquatshift.platform import objects
-from kumquatshift.platform.packets import ACK, RST, SYN, place_of
+from kumquatshift.platform.packets import ACK, RST, SYN, encode_destination
 from kumquatshift.standins.direct_flows import Head
 from kumquatshift.standins.metadata_store import StoreFaults
 from tests.features.steps.platform_store_steps import TROUBLES
@@ -191,8 +191,8 @@
 
 def opening(context):
     context.sport += 1
-    place = place_of("198.18.0.1", 8080)
-    source = place_of(CALLER, 0)[:4]
+    place = encode_destination("198.18.0.1", 8080)
+    source = encode_destination(CALLER, 0)[:4]
     head = Head(SYN, source, context.sport, place[:4], 8080, seq=5)
     return head.pack()
 
@@ -229,8 +229,8 @@
 
 
 def no_route(number=0):
-    place = place_of("198.18.0.99", 1)
-    source = place_of(CALLER, 0)[:4]
+    place = encode_destination("198.18.0.99", 1)
+    source = encode_destination(CALLER, 0)[:4]
     return Head(ACK, source, 2000 + number % 1000, place[:4], 1, ack=9).pack(b"x")
 
 
--- a/tests/features/steps/platform_store_steps.py
+++ b/tests/features/steps/platform_store_steps.py
@@ -5,13 +5,13 @@
 
 from kumquatshift.direct.calls import Change, Changes, Item, Page
 from kumquatshift.direct.events import Event
-from kumquatshift.direct.feed import Feed, Pace
+from kumquatshift.direct.feed import Feed, FeedTiming
 from kumquatshift.direct.placement import Placement
 from kumquatshift.direct.site import Site
 from kumquatshift.direct.warmup import Warmup, WarmupBounds
 from kumquatshift.platform import objects
+from kumquatshift.platform.feed_listeners import feed_listeners
 from kumquatshift.platform.store import StoreReader
-from kumquatshift.platform.takers import takers
 from kumquatshift.standins.metadata_store import StoreFaults, serve
 from tests.features.steps.platform_wire_steps import CONFIGURATION, TARGET
 from tests.support.direct_site import Recorder
@@ -52,8 +52,8 @@
     warmup = Warmup(WarmupBounds(1.5, 5), "north-a")
     context.site = Site(Placement("north-a", warmup), events)
     context.events = events
-    for kind, taker in takers(context.site, events).items():
-        feed = Feed(kind, Pace(watch_s), taker, events)
+    for kind, listener in feed_listeners(context.site, events).items():
+        feed = Feed(kind, FeedTiming(watch_s), listener, events)
         reader = StoreReader(reactor, context.store_address, feed)
         in_reactor(reader.start)
         context.add_cleanup(in_reactor, reader.stop)
@@ -165,21 +165,21 @@
         def __init__(self):
             self.values = {}
 
-        def take_list(self, items, after_loss, now):
+        def handle_list(self, items, after_loss, now):
             self.values = {item.name: item.value for item in items}
 
-        def take_change(self, change, now):
+        def handle_change(self, change, now):
             self.values[change.item.name] = change.item.value
 
-    taker = Taker()
-    feed = Feed("kind", Pace(5.0), taker, Recorder())
-    feed.take_page(Page((Item("a", 3, "a3"),), True, 10), 0.0)
+    listener = Taker()
+    feed = Feed("kind", FeedTiming(5.0), listener, Recorder())
+    feed.handle_page(Page((Item("a", 3, "a3"),), True, 10), 0.0)
     assert feed.next_call(0.1).after == "a"
-    feed.take_page(Page((Item("b", 12, "b12"),), False, 13), 0.1)
+    feed.handle_page(Page((Item("b", 12, "b12"),), False, 13), 0.1)
     assert feed.next_call(0.1).revision == 10, "changes between the pages come again"
     earlier = Change(Item("b", 11, "b11"), False)
-    feed.take_changes(Changes((earlier,), 13), 0.2)
-    assert taker.values == {"a": "a3", "b": "b12"}, taker.values
+    feed.handle_changes(Changes((earlier,), 13), 0.2)
+    assert listener.values == {"a": "a3", "b": "b12"}, listener.values
 
 
 @when("a site reads the store, which {trouble} from the start")
--- a/tests/features/steps/priority_steps.py
+++ b/tests/features/steps/priority_steps.py
@@ -16,8 +16,8 @@
 
 
 def claim_of(priority, number, service="report", time_s=10.0):
-    ticket = f"{priority}-{number}".encode()
-    return Claim(ticket, service, priority, NOW + time_s)
+    claim_id = f"{priority}-{number}".encode()
+    return Claim(claim_id, service, priority, NOW + time_s)
 
 
 @given(
--- a/tests/features/steps/report_steps.py
+++ b/tests/features/steps/report_steps.py
@@ -8,7 +8,7 @@
 from behave import given, then, when
 
 from extras import report
-from kumquatshift.platform.journal import Demand, SiteDay
+from kumquatshift.platform.journal import RequestClass, SiteDay
 
 DAYS = ("quiet-1", "trouble-1", "fresh-12ab")
 
@@ -84,12 +84,15 @@
 
 @then("it earns {credit:g} with an aim of {aim:g} s and a deadline of {deadline:g} s")
 def step_earns(context, credit, aim, deadline):
-    demand = Demand(1.0, aim, deadline, 0.3, context.opens_flow)
+    demand = RequestClass(1.0, aim, deadline, 0.3, context.opens_flow)
     found = report.credit(demand, context.sent, context.outage)
     assert found == credit, found
 
 
-DEMANDS = (Demand(0.6, 0.15, 2.0, 0.3, False), Demand(0.4, 0.5, 5.0, 0.3, True))
+DEMANDS = (
+    RequestClass(0.6, 0.15, 2.0, 0.3, False),
+    RequestClass(0.4, 0.5, 5.0, 0.3, True),
+)
 
 
 @then(
--- a/tests/features/steps/requests_steps.py
+++ b/tests/features/steps/requests_steps.py
@@ -2,7 +2,7 @@
 from behave import given, then, when
 from hypothesis import HealthCheck, Phase, given as for_all, settings
 
-from kumquatshift.engine.decisions import Forward
+from kumquatshift.engine.decisions import ReplicateAndForward
 from kumquatshift.errors import ErrorKind
 from kumquatshift.measures.coap_packets import read, reply, request
 from kumquatshift.measures.naive_requests import naive_policy
@@ -136,7 +136,7 @@
     if fate == "left alone":
         assert not mine, mine
     elif fate == "sent":
-        assert [each.note.key for each in mine] == [last], mine
+        assert [each.record_fields.key for each in mine] == [last], mine
     else:
         kind, cause = fate.removeprefix("refused as ").split(" for ")
         assert [(each.kind, each.cause) for each in mine] == [(kind, cause)], mine
@@ -163,7 +163,7 @@
     for mid in range(count):
         single.now += 1.0
         decisions = single.request(request(Code.GET, mid, b"%d" % mid))
-        while decisions and isinstance(decisions[0], Forward):
+        while decisions and isinstance(decisions[0], ReplicateAndForward):
             context.seen += 1
             shed = reply(decisions[0].data, Code.SERVICE_UNAVAILABLE, max_age=1)
             decisions = single.response(shed)
--- a/tests/measures/start.py
+++ b/tests/measures/start.py
@@ -23,7 +23,7 @@
 import sys
 sys.path[:0] = {paths!r}
 import kumquatshift.platform.start, kumquatshift.platform.entry
-import kumquatshift.platform.meeting
+import kumquatshift.platform.peering
 with open("/proc/self/status") as status:
     peak = next(line for line in status if line.startswith("VmHWM"))
 print(peak.split()[1])
--- a/tests/support/direct_site.py
+++ b/tests/support/direct_site.py
@@ -15,7 +15,7 @@
 from kumquatshift.direct.steering import Steering
 from kumquatshift.direct.targets import Report
 from kumquatshift.direct.warmup import Warmup, WarmupBounds
-from kumquatshift.platform.packets import caller_host, place_of
+from kumquatshift.platform.packets import caller_host, encode_destination
 from kumquatshift.platform.port import PacketPort
 from kumquatshift.standins.direct_flows import FlowCaller, FlowTarget, Head
 
@@ -106,7 +106,7 @@
 
     def configure(self, service=SERVICE, version=1, cold_per_s=0.0, places=(PLACE,)):
         routes = tuple(
-            Route(f"r{n}", place_of(*place), (Share(service, 1),))
+            Route(f"r{n}", encode_destination(*place), (Share(service, 1),))
             for n, place in enumerate(places)
         )
         limits = (ServiceLimits(service, cold_per_s, 2000),)
@@ -132,7 +132,7 @@
         address = (f"10.9.0.{number}", 8000)
         key = number.to_bytes(8, "big")
         report = Report(
-            name, key, number, service, domain, address, 2, warms_for_s=cold_s
+            name, key, number, service, domain, address, 2, warmup_left_s=cold_s
         )
         target = FlowTarget(self.clock, key, self.to_caller, work_s)
         target.domain = domain
@@ -159,8 +159,8 @@
     def add_caller(self, entries=None, place=PLACE, **kinds):
         """Add a caller whose packets come to one of ``entries``."""
         number = len(self.callers) + 1
-        source = place_of(f"100.64.{number >> 8}.{number & 255}", 0)[:4]
-        packed = place_of(*place)
+        source = encode_destination(f"100.64.{number >> 8}.{number & 255}", 0)[:4]
+        packed = encode_destination(*place)
         ends = (source, 1000, packed[:4], place[1])
         caller = FlowCaller(self.clock, ends, self._sender(entries), **kinds)
         self.callers[source] = caller
--- a/tests/support/load.py
+++ b/tests/support/load.py
@@ -47,8 +47,8 @@
             for holder in ring.holders(bucket):
                 flow = by_name[holder.name].flows.put(record, bucket, now)
                 flow.holders = ring.holders(bucket)
-                flow.placed_at = now - 5 - self.rng.random() * 100
-                flow.proven = True
+                flow.replicated_at = now - 5 - self.rng.random() * 100
+                flow.fully_replicated = True
 
     def run(self, seconds, new_per_s=NEW_PER_S):
         """Let time pass; return bytes a second by entry and kind of message."""
--- a/tests/support/news_domain.py
+++ b/tests/support/news_domain.py
@@ -14,18 +14,18 @@
     Failure,
     Item,
     ListCall,
-    NewsCall,
     Page,
+    PeerUpdateCall,
 )
-from kumquatshift.direct.feed import WATCH_GRACE_S, Feed, Pace
+from kumquatshift.direct.feed import WATCH_GRACE_S, Feed, FeedTiming
 from kumquatshift.direct.members import (
-    BEAT_S,
-    READER_BEAT_S,
-    Beat,
+    HEARTBEAT_INTERVAL_S,
+    READER_HEARTBEAT_INTERVAL_S,
     Member,
     Members,
+    PeerHeartbeat,
 )
-from kumquatshift.direct.news import Handout, News
+from kumquatshift.direct.peer_updates import PeerSelector, TransferLimiter
 from kumquatshift.standins.metadata_store import MetadataStore
 from tests.support.direct_site import Recorder
 
@@ -43,12 +43,12 @@
         self.reverted = False
         self.losses = 0
 
-    def take_list(self, items, after_loss, now):
+    def handle_list(self, items, after_loss, now):
         self.losses += after_loss
         self.values = {item.name: item.value for item in items}
         self.node.note()
 
-    def take_change(self, change, now):
+    def handle_change(self, change, now):
         name, value = change.item.name, change.item.value
         if change.is_deleted:
             self.values.pop(name, None)
@@ -57,7 +57,7 @@
             self.values[name] = value
         self.node.note()
 
-    def note_loss(self, now):
+    def handle_store_loss(self, now):
         self.losses += 1
 
 
@@ -72,16 +72,16 @@
         self.me = Member(name, "north-a", ("10.0.0.1", number))
         self.members = Members(self.me, (), self.events)
         self.known = Known(self)
-        pace = domain.pace
-        self.feed = Feed(KIND, pace, self.known, self.events)
-        self.feed.follow(self.members, News(KIND, pace.fresh_s, self.members))
+        timing = domain.timing
+        self.feed = Feed(KIND, timing, self.known, self.events)
+        self.feed.follow(self.members, PeerSelector(KIND, timing.fresh_s, self.members))
         self.is_up = True
         self.is_paused = False
         self.turned_away = None
         self.watch = None
         self.calls = []
         self.long_answers = []
-        self.handout = Handout(domain.link_bytes_per_s)
+        self.transfer_limiter = TransferLimiter(domain.link_bytes_per_s)
         self._beat = None
         self._told = None
         self.clock.callLater(0, self._call)
@@ -103,19 +103,21 @@
             return
         now = self.clock.seconds()
         self.members.expire(now)
-        tick = self.feed.tick(now)
-        ticks = (tick,) if tick else ()
+        status = self.feed.status(now)
+        statuses = (status,) if status else ()
         reaches = self.feed.reaches_store(now)
-        beat = Beat(*self.me, 1, False, reaches, ticks, (), ())
+        beat = PeerHeartbeat(*self.me, 1, False, reaches, statuses, (), ())
         for other in self.domain.nodes:
             if other is not self and not self.domain.rng.random() < self.domain.loss:
-                self.clock.callLater(0.001, other.hear, beat)
-        wait_s = READER_BEAT_S if self.feed.is_reader else BEAT_S
+                self.clock.callLater(0.001, other.receive_heartbeat, beat)
+        wait_s = (
+            READER_HEARTBEAT_INTERVAL_S if self.feed.is_reader else HEARTBEAT_INTERVAL_S
+        )
         self._beat = self.clock.callLater(wait_s, self._send)
 
-    def hear(self, beat):
+    def receive_heartbeat(self, beat):
         if self.is_up and not self.is_paused:
-            self.members.hear(beat, self.clock.seconds())
+            self.members.receive_heartbeat(beat, self.clock.seconds())
 
     def _call(self):
         if not self.is_up:
@@ -127,7 +129,7 @@
         call = self.feed.next_call(now)
         if call is None:
             self.clock.callLater(0.1, self._call)
-        elif isinstance(call, NewsCall):
+        elif isinstance(call, PeerUpdateCall):
             self._ask(call)
         else:
             self._to_store(call)
@@ -136,31 +138,31 @@
         peer = next(n for n in self.domain.nodes if n.me.address == call.address)
         self.domain.news_calls += 1
         now = self.clock.seconds()
-        news = peer.feed.news_since(call.since, now) if peer.is_up else None
+        news = peer.feed.updates_since(call.since, now) if peer.is_up else None
         if news is None:
-            self._finish(self.feed.take_news_failure, Failure.BROKEN, "closed")
+            self._finish(self.feed.handle_peer_failure, Failure.BROKEN, "closed")
             return
-        if not peer.handout.admits(self.domain.answer_bytes, now):
-            self._finish(self.feed.take_news_busy)
+        if not peer.transfer_limiter.admits(self.domain.answer_bytes, now):
+            self._finish(self.feed.handle_peer_busy)
             return
         peer.long_answers.append(now)
-        if news.is_whole:
+        if news.is_snapshot:
             self.domain.whole_news += 1
-        self._finish(self.feed.take_news, news)
+        self._finish(self.feed.handle_peer_update, news)
 
     def _to_store(self, call):
         now = self.clock.seconds()
         self.calls.append((now, call))
         trouble = self.turned_away or self.domain.trouble
         if trouble == "refuses":
-            self._finish(self.feed.take_failure, Failure.UNAVAILABLE, "status 503")
+            self._finish(self.feed.handle_failure, Failure.UNAVAILABLE, "status 503")
         elif trouble == "is silent":
             self._fail_later(call.timeout_s)
         elif isinstance(call, ListCall):
             page = self.domain.store.page(KIND, call.after)
             items = tuple(_item(obj) for obj in page["items"])
             answer = Page(items, page["more"], page["currentRev"])
-            self._finish(self.feed.take_page, answer)
+            self._finish(self.feed.handle_page, answer)
         else:
             self._watch(call, now + call.wait_s)
 
@@ -175,13 +177,13 @@
         events = store.since(KIND, call.revision)
         if events or self.clock.seconds() >= until:
             changes = tuple(Change(_item(e["object"]), e["deleted"]) for e in events)
-            self._finish(self.feed.take_changes, Changes(changes, store.revision))
+            self._finish(self.feed.handle_changes, Changes(changes, store.revision))
         else:
             self.clock.callLater(STEP_S, self._watch, call, until)
 
     def _fail_later(self, after_s):
         self.clock.callLater(
-            after_s, self._finish, self.feed.take_failure, Failure.TIMEOUT, "late"
+            after_s, self._finish, self.feed.handle_failure, Failure.TIMEOUT, "late"
         )
 
     def _finish(self, take, *args):
@@ -196,11 +198,11 @@
 class NewsDomain:
     """All entries of one failure domain, and the store."""
 
-    def __init__(self, pace=None, seed=3):
+    def __init__(self, timing=None, seed=3):
         self.clock = Clock()
         self.clock.advance(100)
         self.rng = random.Random(seed)
-        self.pace = pace or Pace.from_bounds(4.0, 3.0)
+        self.timing = timing or FeedTiming.from_bounds(4.0, 3.0)
         self.store = MetadataStore()
         self.nodes = []
         self.loss = 0.0
--- a/tests/support/single_policy.py
+++ b/tests/support/single_policy.py
@@ -16,7 +16,7 @@
     def is_primary(self, flow):
         return self.primary
 
-    def is_certain(self, flow):
+    def has_quorum(self, flow):
         return self.certain
 
 
