--- a/kumquatshift/measures/packet_lanes.py
+++ b/kumquatshift/measures/packet_paths.py
@@ -162,7 +162,7 @@
         asyncio.set_event_loop(None)
 
     def insert_flows(self, packets: list[bytes]) -> None:
-        """Replace the flow table with the flows of these packets, as `fully_replicated` ones."""
+        """Replace the flow table by the flows of these packets, fully replicated."""
         node = self.engine.node
         now = node.clock.seconds()
         table, targets = node.flows, sorted(node.store.targets)
