--- a/kumquatshift/adapters/driver.py
+++ b/kumquatshift/adapters/driver.py
@@ -243,10 +243,10 @@
     def _control_endpoint(self, address):
         return f"{address}:{self._cfg.entry.control_port}"
 
-    def _set_watch_active(self, hold):
+    def _set_watch_active(self, active):
         if self._watch is not None:
-            self._watch.hold(hold)
-            self._poller.hold(hold)
+            self._watch.hold(active)
+            self._poller.hold(active)
 
     def _collect_object(self, obj):
         """Collect objects for a short time, so that peers are notified once."""
--- a/kumquatshift/adapters/envelope.py
+++ b/kumquatshift/adapters/envelope.py
@@ -142,29 +142,29 @@
     )
 
 
-def _encode_heartbeat(beat):
+def _encode_heartbeat(heartbeat):
     return pb.Heartbeat(
-        domain=beat.domain,
-        incarnation=beat.incarnation,
-        sequence=beat.sequence,
-        state=beat.state,
-        digest=beat.digest,
-        address=beat.address,
-        heard=beat.heard,
+        domain=heartbeat.domain,
+        incarnation=heartbeat.incarnation,
+        sequence=heartbeat.sequence,
+        state=heartbeat.state,
+        digest=heartbeat.digest,
+        address=heartbeat.address,
+        heard=heartbeat.heard,
     )
 
 
 def _decode_heartbeat(envelope):
-    beat = envelope.heartbeat
+    heartbeat = envelope.heartbeat
     return Heartbeat(
         envelope.sender,
-        beat.domain,
-        beat.incarnation,
-        beat.sequence,
-        EntryState(beat.state),
-        beat.digest,
-        beat.address,
-        tuple(beat.heard),
+        heartbeat.domain,
+        heartbeat.incarnation,
+        heartbeat.sequence,
+        EntryState(heartbeat.state),
+        heartbeat.digest,
+        heartbeat.address,
+        tuple(heartbeat.heard),
     )
 
 
--- a/kumquatshift/adapters/http.py
+++ b/kumquatshift/adapters/http.py
@@ -10,7 +10,7 @@
     """Make a call fail with `twisted.internet.defer.TimeoutError` after a time.
 
     The agent wraps the cancellation in errors of its own, which this replaces:
-    callers check for a plain time-out.
+    the code that makes the call checks for a plain timeout.
     """
 
     def late(value, _):
--- a/kumquatshift/adapters/http_client.py
+++ b/kumquatshift/adapters/http_client.py
@@ -19,7 +19,7 @@
 
 RECEIVE_BYTES = 65_536
 
-# Several times a page of the largest objects that the store keeps.
+# Several times the size of a list page with the largest objects of the store.
 MAX_BODY_BYTES = 16 * 1024 * 1024
 
 # A response that pauses for longer has stalled: the second retransmission of a
--- a/kumquatshift/adapters/peer_service.py
+++ b/kumquatshift/adapters/peer_service.py
@@ -1,4 +1,4 @@
-"""Communication with the other entries: heartbeats, member queries and news."""
+"""Communication with the other entries: heartbeats, member queries and updates."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 if TYPE_CHECKING:
     from typing import Protocol
 
-    class NewsReader(Protocol):
+    class FeedReader(Protocol):
         """Makes the calls of one feed, to the store or to other entries."""
 
         codec: NewsCodec | None
@@ -43,10 +43,10 @@
 
 
 class PeerService:
-    """Exchanges heartbeats, members and news with the other entries.
+    """Exchanges heartbeats, members and updates with the other entries.
 
     Heartbeats and member queries go over UDP; a page on the same address
-    serves news, the changes of a feed, over HTTP.
+    serves updates, the changes of a feed, over HTTP.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         lifecycle: Lifecycle,
         transfer_limiter: TransferLimiter,
     ):
-        self._readers: dict[str, NewsReader] = {}
+        self._readers: dict[str, FeedReader] = {}
         self._codec = NewsCodec()
         self._started_at = reactor.seconds()
         self._reactor = reactor
@@ -84,16 +84,16 @@
             self._answer_member_query,
             self._members.add_candidates,
         )
-        PageServer(self._reactor, address, {NEWS_PATH: self._news_page})
+        PageServer(self._reactor, address, {NEWS_PATH: self._update_page})
         for after_s in DISCOVERY_DELAYS_S:
             self._reactor.callLater(after_s, self._query_seeds)
         self._reactor.callLater(DISCOVERY_RETRY_S, self._query_seeds_while_alone)
         self._send_heartbeat()
 
     def follow(
-        self, feeds: dict[str, Feed], readers: dict[str, NewsReader], timing: FeedTiming
+        self, feeds: dict[str, Feed], readers: dict[str, FeedReader], timing: FeedTiming
     ) -> None:
-        """Let feeds fetch news from other entries.
+        """Let feeds fetch updates from other entries.
 
         ``readers`` make the calls of the feed of the same kind.
         """
@@ -119,7 +119,7 @@
             COALESCE_S, self._send_heartbeat
         )
 
-    def check(self) -> None:
+    def announce_changes(self) -> None:
         """Send a heartbeat if its urgent part has changed since the last one."""
         if self._urgent_state() != self._announced_state:
             self.send_heartbeat_now()
@@ -160,20 +160,20 @@
         return (
             tuple(feed.changed for feed in self._feeds.values()),
             {(s.name, s.complaints) for s in self._failure_detector.suspects(now)},
-            {objection.name for objection in self._failure_detector.refutations(now)},
+            {each.name for each in self._failure_detector.refutations(now)},
         )
 
-    def _on_heartbeat(self, beat: PeerHeartbeat) -> None:
+    def _on_heartbeat(self, heartbeat: PeerHeartbeat) -> None:
         now = self._reactor.seconds()
-        self._members.receive_heartbeat(beat, now)
-        if beat.domain != self._members.me.domain:
+        self._members.receive_heartbeat(heartbeat, now)
+        if heartbeat.domain != self._members.me.domain:
             return
-        for suspect in beat.suspects:
-            self._failure_detector.receive_suspect(suspect, beat.name, now)
-        for refutation in beat.refutations:
+        for suspect in heartbeat.suspects:
+            self._failure_detector.receive_suspect(suspect, heartbeat.name, now)
+        for refutation in heartbeat.refutations:
             self._failure_detector.receive_refutation(refutation, now)
-        self.check()
-        for status in beat.statuses:
+        self.announce_changes()
+        for status in heartbeat.statuses:
             reader = self._readers.get(status.kind)
             if reader is not None and self._feeds[status.kind].lacks(status):
                 reader.wake()
@@ -193,17 +193,17 @@
             self._query_seeds()
         self._reactor.callLater(DISCOVERY_RETRY_S, self._query_seeds_while_alone)
 
-    def _news_page(self, query: bytes) -> PageResponse:
+    def _update_page(self, query: bytes) -> PageResponse:
         try:
             kind, since = self._codec.parse_query(query)
         except ValueError:
             return PageResponse(404)
         now = self._reactor.seconds()
         feed = self._feeds.get(kind)
-        news = feed and feed.updates_since(since, now)
-        if news is None:
+        update = feed and feed.updates_since(since, now)
+        if update is None:
             return PageResponse(503)
-        body = self._codec.encode(news, since)
+        body = self._codec.encode(update, since)
         if not self._transfer_limiter.admits(len(body), now):
             return PageResponse(BUSY_STATUS)
         return PageResponse(200, body)
--- a/kumquatshift/adapters/peers.py
+++ b/kumquatshift/adapters/peers.py
@@ -1,6 +1,7 @@
-"""Wire formats between entries: heartbeats over UDP, news over HTTP.
+"""Wire formats between entries: heartbeats over UDP, peer updates over HTTP.
 
-News are the changes of a feed that one entry passes on to another.
+A peer update has the objects or changes of a feed that one entry passes on to
+another; its path on the wire is ``/news``.
 """
 
 from __future__ import annotations
@@ -23,11 +24,11 @@
 MAX_CACHED_ANSWERS = 6
 
 # Holds all targets and the largest configuration that the store keeps.
-MAX_NEWS_BYTES = 16 * 1024 * 1024
+MAX_UPDATE_BYTES = 16 * 1024 * 1024
 
 
 class UnreadableNewsError(ValueError):
-    """The news from another entry could not be decoded."""
+    """The update from another entry could not be decoded."""
 
 
 class HeartbeatPort(Descriptor):
@@ -56,10 +57,10 @@
         return self._sock.fileno()
 
     def send_heartbeat(
-        self, beat: PeerHeartbeat, addresses: list[tuple[str, int]]
+        self, heartbeat: PeerHeartbeat, addresses: list[tuple[str, int]]
     ) -> None:
         """Send a heartbeat to each address."""
-        data = json.dumps({"beat": beat}).encode()
+        data = json.dumps({"beat": heartbeat}).encode()
         for address in addresses:
             self._send(data, address)
 
@@ -105,9 +106,9 @@
 
 
 class NewsCodec:
-    """Encodes and decodes requests for news and the answers to them.
+    """Encodes and decodes requests for peer updates and the answers to them.
 
-    An answer is its tick as one line of JSON, followed by the rest as
+    An answer is the feed status as one line of JSON, followed by the rest as
     zlib-compressed JSON: uncompressed, a large configuration would fill the
     link of a small machine for seconds. All followers of a reader ask for the
     same at once, so an encoded answer is cached.
@@ -117,7 +118,7 @@
         self._encoded: dict[tuple, bytes] = {}
 
     def path(self, kind: str, since: int) -> str:
-        """Return the path of the news of a kind of feed after ``since``."""
+        """Return the path of the updates of a kind of feed after ``since``."""
         return f"{NEWS_PATH.decode()}?{kind}&{since}"
 
     def parse_query(self, query: bytes) -> tuple[str, int]:
@@ -125,13 +126,13 @@
         kind, _, since = query.decode().partition("&")
         return kind, int(since)
 
-    def encode(self, news: PeerUpdate, since: int) -> bytes:
+    def encode(self, update: PeerUpdate, since: int) -> bytes:
         """Encode an answer for a follower that knows all changes up to ``since``."""
-        status = news.status
-        key = status.kind, news.is_snapshot, since, status.since, status.changed
+        status = update.status
+        key = status.kind, update.is_snapshot, since, status.since, status.changed
         body = self._encoded.get(key)
         if body is None:
-            text = json.dumps(news[:3]).encode()
+            text = json.dumps(update[:3]).encode()
             body = zlib.compress(text, level=zlib.Z_BEST_SPEED)
             if len(self._encoded) >= MAX_CACHED_ANSWERS:
                 del self._encoded[next(iter(self._encoded))]
@@ -147,17 +148,17 @@
                 bool(is_snapshot),
                 tuple(_parse_item(each) for each in items),
                 tuple(Change(_parse_item(item), bool(gone)) for item, gone in changes),
-                _parse_tick(json.loads(status)),
+                _parse_status(json.loads(status)),
             )
         except (ValueError, TypeError, IndexError, zlib.error) as exc:
-            raise UnreadableNewsError(f"cannot decode news: {exc!r}") from exc
+            raise UnreadableNewsError(f"cannot decode peer update: {exc!r}") from exc
 
 
 def _inflate(data: bytes) -> bytes:
     stream = zlib.decompressobj()
-    text = stream.decompress(data, MAX_NEWS_BYTES)
+    text = stream.decompress(data, MAX_UPDATE_BYTES)
     if not stream.eof:
-        raise ValueError(f"truncated, or longer than {MAX_NEWS_BYTES} bytes")
+        raise ValueError(f"truncated, or longer than {MAX_UPDATE_BYTES} bytes")
     return text
 
 
@@ -171,7 +172,7 @@
         int(incarnation),
         bool(leaving),
         bool(reaches),
-        tuple(_parse_tick(each) for each in statuses),
+        tuple(_parse_status(each) for each in statuses),
         tuple(
             Suspect(str(name), int(start), int(complaints), float(silent_s))
             for name, start, complaints, silent_s in suspects
@@ -194,7 +195,7 @@
     return str(host), int(port)
 
 
-def _parse_tick(wire: list) -> FeedStatus:
+def _parse_status(wire: list) -> FeedStatus:
     kind, is_reader, *revisions, age_s = wire
     since, changed, revision = (int(each) for each in revisions)
     return FeedStatus(
--- a/kumquatshift/adapters/watcher.py
+++ b/kumquatshift/adapters/watcher.py
@@ -39,7 +39,7 @@
 
 
 class PlatformWatch:
-    """Reports every change of the platform's objects while it is held.
+    """Reports every change of the platform's objects while the watch is held open.
 
     It lists, then watches from the version of the list. A watch without an event
     for 10 s is closed; then, as after `Expired`, it lists again, so that changes
@@ -192,7 +192,7 @@
 
 
 class VmPoller:
-    """Polls the platform's list of VMs every 5 s while it is held.
+    """Polls the platform's list of VMs every 5 s while it is switched on by `hold`.
 
     After a failed poll the last list stays in use.
     """
--- a/kumquatshift/cli/files.py
+++ b/kumquatshift/cli/files.py
@@ -60,7 +60,7 @@
 def read_objects(
     text: str, kind: Kind | None
 ) -> Result[tuple[DesiredObject, ...], Failure]:
-    """Return the objects of a file, or a failure that lists every mistake in it.
+    """Return the objects of a file, or a failure that lists every error in it.
 
     If ``kind`` is given, the file may only contain objects of that kind.
     """
@@ -72,19 +72,19 @@
             ErrorKind.BAD_INPUT, message, "fix the file; nothing was changed"
         )
         return result.Failure(failure)
-    desired, mistakes = [], []
+    desired, field_errors = [], []
     for raw in raw_objects:
-        found_mistakes = _check_kind(raw, kind)
-        if not found_mistakes:
-            desired_item, found_mistakes = _read_object(raw)
+        found_errors = _check_kind(raw, kind)
+        if not found_errors:
+            desired_item, found_errors = _read_object(raw)
             desired.append(desired_item)
-        mistakes += found_mistakes
-    mistakes += _check_duplicates(raw_objects)
+        field_errors += found_errors
+    field_errors += _check_duplicates(raw_objects)
     if not raw_objects:
         allowed = "allowed: sections such as [target t1]"
-        mistakes.append(FieldError("file", "objects", "none", allowed))
-    if mistakes:
-        return result.Failure(bad_input(mistakes))
+        field_errors.append(FieldError("file", "objects", "none", allowed))
+    if field_errors:
+        return result.Failure(bad_input(field_errors))
     return Success(tuple(desired))
 
 
@@ -162,13 +162,13 @@
     if isinstance(fields, Mapping):
         texts = {k: v for k, v in fields.items() if isinstance(v, str)}
         fields = {**fields, **fields_from_text(kind, texts)}
-    version, found_mistakes = None, []
+    version, found_errors = None, []
     if isinstance(fields, Mapping) and "version" in fields:
-        version, found_mistakes = _read_version(raw, fields.pop("version"))
+        version, found_errors = _read_version(raw, fields.pop("version"))
     decoded = decode_body(kind, raw.name, fields)
-    mistakes = [*found_mistakes, *decoded.mistakes]
-    if mistakes:
-        return None, mistakes
+    field_errors = [*found_errors, *decoded.field_errors]
+    if field_errors:
+        return None, field_errors
     return DesiredObject(kind, decoded.body, frozenset(fields), version), []
 
 
@@ -184,12 +184,12 @@
 
 
 def _check_duplicates(raw_objects):
-    seen, mistakes = set(), []
+    seen, field_errors = set(), []
     for raw in raw_objects:
         key = (raw.kind, str(raw.name))
         if key in seen:
             subject_name = subject(raw.kind, raw.name)
-            mistakes.append(
+            field_errors.append(
                 FieldError(
                     subject_name,
                     "name",
@@ -198,4 +198,4 @@
                 )
             )
         seen.add(key)
-    return mistakes
+    return field_errors
--- a/kumquatshift/codec.py
+++ b/kumquatshift/codec.py
@@ -102,7 +102,7 @@
     """A body, or the reasons why a value is not a valid body."""
 
     body: Body | None
-    mistakes: tuple[FieldError, ...]
+    field_errors: tuple[FieldError, ...]
 
 
 def kind_of(body: Body) -> Kind:
@@ -125,27 +125,29 @@
 def decode_body(kind: Kind, name: object, value: object) -> Decoded:
     """Decode the fields of one object and collect all invalid ones."""
     object_id = subject(kind, name)
-    mistakes = []
+    field_errors = []
     if not _is_valid(Name(), name):
-        mistakes.append(FieldError(object_id, "name", format_value(name), Name.allowed))
+        field_errors.append(
+            FieldError(object_id, "name", format_value(name), Name.allowed)
+        )
     if not isinstance(value, Mapping):
         wanted = "allowed: an object with the fields " + ", ".join(FIELDS[kind])
-        mistakes.append(FieldError(object_id, "body", format_value(value), wanted))
-        return Decoded(None, tuple(mistakes))
+        field_errors.append(FieldError(object_id, "body", format_value(value), wanted))
+        return Decoded(None, tuple(field_errors))
     fields, wrong = _read_fields(kind, object_id, name, value)
-    mistakes += wrong
-    if mistakes:
-        return Decoded(None, tuple(mistakes))
+    field_errors += wrong
+    if field_errors:
+        return Decoded(None, tuple(field_errors))
     body = TYPES[kind](name=name, **fields)
-    mistakes = _check_related_fields(object_id, body)
-    return Decoded(None if mistakes else body, tuple(mistakes))
+    field_errors = _check_related_fields(object_id, body)
+    return Decoded(None if field_errors else body, tuple(field_errors))
 
 
 def body_from_json(kind: Kind, name: str, value: object) -> Result[Body, Failure]:
     """Decode a body from a JSON value, or list all its invalid fields."""
     decoded = decode_body(kind, name, value)
     if decoded.body is None:
-        return result.Failure(bad_input(decoded.mistakes))
+        return result.Failure(bad_input(decoded.field_errors))
     return Success(decoded.body)
 
 
@@ -179,17 +181,17 @@
     """Decode an object from a JSON value of the platform's API."""
     if not isinstance(value, Mapping):
         wanted = "allowed: an object with the fields " + ", ".join(ENVELOPE)
-        mistake = FieldError("object", "value", format_value(value), wanted)
-        return result.Failure(bad_input((mistake,)))
-    mistakes = _check_envelope(value)
-    if mistakes:
-        return result.Failure(bad_input(mistakes))
+        field_error = FieldError("object", "value", format_value(value), wanted)
+        return result.Failure(bad_input((field_error,)))
+    field_errors = _check_envelope(value)
+    if field_errors:
+        return result.Failure(bad_input(field_errors))
     kind = Kind(value["kind"])
     body = None
     if not value.get("deleted", False):
         decoded = decode_body(kind, value["name"], value.get("body"))
-        if decoded.mistakes:
-            return result.Failure(bad_input(decoded.mistakes))
+        if decoded.field_errors:
+            return result.Failure(bad_input(decoded.field_errors))
         body = decoded.body
     return Success(
         Versioned(
@@ -203,9 +205,9 @@
     )
 
 
-def bad_input(mistakes) -> Failure:
-    """Return a failure that lists the mistakes, one on each line."""
-    lines = "\n".join(str(mistake) for mistake in mistakes)
+def bad_input(field_errors) -> Failure:
+    """Return a failure that lists the invalid fields, one on each line."""
+    lines = "\n".join(str(field_error) for field_error in field_errors)
     return Failure(ErrorKind.BAD_INPUT, lines, REMEDY)
 
 
@@ -223,31 +225,33 @@
 
 def _read_fields(kind, object_id, name, value):
     checks = FIELDS[kind]
-    fields, mistakes = {}, []
+    fields, field_errors = {}, []
     for key, found in value.items():
         if key == "name":
             if found != name:
                 allowed = f"allowed: {name}, the name of the object, or nothing"
-                mistakes.append(
+                field_errors.append(
                     FieldError(object_id, "name", format_value(found), allowed)
                 )
             continue
         if key not in checks:
             allowed = "no such field; " + suggest_nearest(str(key), checks)
-            mistakes.append(
+            field_errors.append(
                 FieldError(object_id, str(key), format_value(found), allowed)
             )
             continue
         try:
             fields[key] = checks[key].read(found)
         except Invalid:
-            mistakes.append(
+            field_errors.append(
                 FieldError(object_id, key, format_value(found), checks[key].allowed)
             )
     for key in _required(kind):
         if key not in value:
-            mistakes.append(FieldError(object_id, key, "nothing", checks[key].allowed))
-    return fields, mistakes
+            field_errors.append(
+                FieldError(object_id, key, "nothing", checks[key].allowed)
+            )
+    return fields, field_errors
 
 
 def _required(kind):
@@ -262,35 +266,37 @@
     """Check fields of one object that depend on each other."""
     if not isinstance(body, Profile):
         return []
-    mistakes = []
+    field_errors = []
     for key in ("request_timeout_s", "silence_timeout_s"):
         limit = getattr(body, key)
         if limit > body.idle_timeout_s:
             allowed = (
                 f"allowed: at most idle_timeout_s, {body.idle_timeout_s:g} seconds"
             )
-            mistakes.append(FieldError(object_id, key, f"{limit:g}", allowed))
-    return mistakes
+            field_errors.append(FieldError(object_id, key, f"{limit:g}", allowed))
+    return field_errors
 
 
 def _check_envelope(value):
     object_id = subject(value.get("kind", "?"), value.get("name", "?"))
-    mistakes = []
+    field_errors = []
     checks = {"kind": Choice(Kind), "name": Name(), "version": VERSION}
     if "created" in value:
         checks["created"] = VERSION
     for key, check in checks.items():
         if not _is_valid(check, value.get(key)):
-            mistakes.append(
+            field_errors.append(
                 FieldError(object_id, key, format_value(value.get(key)), check.allowed)
             )
     operation = value.get("operation", "")
     if not isinstance(operation, str) or len(operation) > MAX_OPERATION_LENGTH:
         allowed = f"allowed: text of at most {MAX_OPERATION_LENGTH} characters"
-        mistakes.append(
+        field_errors.append(
             FieldError(object_id, "operation", format_value(operation), allowed)
         )
     if not isinstance(value.get("deleted", False), bool):
         found = format_value(value["deleted"])
-        mistakes.append(FieldError(object_id, "deleted", found, "allowed: true, false"))
-    return mistakes
+        field_errors.append(
+            FieldError(object_id, "deleted", found, "allowed: true, false")
+        )
+    return field_errors
--- a/kumquatshift/consistency.py
+++ b/kumquatshift/consistency.py
@@ -26,36 +26,36 @@
     return kind_of(body), body.name
 
 
-def find_mistakes(bodies: Iterable[Body]) -> list[FieldError]:
+def find_field_errors(bodies: Iterable[Body]) -> list[FieldError]:
     """Return all missing references and duplicates of a whole configuration."""
     bodies = sorted(bodies, key=key_of)
     names = {kind: {b.name for b in bodies if kind_of(b) is kind} for kind in Kind}
-    mistakes = []
+    field_errors = []
     for body in bodies:
-        mistakes += _check_references(body, names)
-    mistakes += _check_unique(bodies, Service, ("address", "port", "protocol"))
-    mistakes += _check_unique(bodies, Target, ("service", "host", "port"))
-    return mistakes
+        field_errors += _check_references(body, names)
+    field_errors += _check_unique(bodies, Service, ("address", "port", "protocol"))
+    field_errors += _check_unique(bodies, Target, ("service", "host", "port"))
+    return field_errors
 
 
 def check_change(
-    standing: Iterable[Body], changed: Iterable[Body]
+    current: Iterable[Body], changed: Iterable[Body]
 ) -> Result[tuple[Body, ...], Failure]:
     """Check a change, and return all objects as they would be after it.
 
-    Mistakes that existed before are ignored, so that one of them can be corrected
+    Errors that existed before are ignored, so that one of them can be corrected
     without the others.
     """
-    before = {key_of(body): body for body in standing}
+    before = {key_of(body): body for body in current}
     after = before | {key_of(body): body for body in changed}
-    known_mistakes = set(find_mistakes(before.values()))
-    new_mistakes = [
-        mistake
-        for mistake in find_mistakes(after.values())
-        if mistake not in known_mistakes
+    known_errors = set(find_field_errors(before.values()))
+    new_errors = [
+        field_error
+        for field_error in find_field_errors(after.values())
+        if field_error not in known_errors
     ]
-    if new_mistakes:
-        return result.Failure(bad_input(new_mistakes))
+    if new_errors:
+        return result.Failure(bad_input(new_errors))
     return Success(tuple(after.values()))
 
 
@@ -71,9 +71,9 @@
     return {}
 
 
-def check_removal(standing: Iterable[Body], key: Key) -> Result[Key, Failure]:
+def check_removal(current: Iterable[Body], key: Key) -> Result[Key, Failure]:
     """Refuse to remove an object that others refer to."""
-    users = [body for body in standing if key in references(body).values()]
+    users = [body for body in current if key in references(body).values()]
     if not users:
         return Success(key)
     names = ", ".join(sorted(subject(kind_of(body), body.name) for body in users))
@@ -99,27 +99,27 @@
 
 def _check_references(body, names):
     object_id = subject(kind_of(body), body.name)
-    mistakes = []
+    field_errors = []
     for field, (kind, name) in references(body).items():
         if name not in names[kind]:
             hint = (
                 suggest_nearest(name, names[kind]) if names[kind] else "none exists yet"
             )
             allowed = f"there is no {kind} of that name; {hint}"
-            mistakes.append(FieldError(object_id, field, repr(name), allowed))
-    return mistakes
+            field_errors.append(FieldError(object_id, field, repr(name), allowed))
+    return field_errors
 
 
 def _check_unique(bodies, cls, fields):
-    seen, mistakes = {}, []
+    seen, field_errors = {}, []
     for body in bodies:
         if not isinstance(body, cls):
             continue
-        place = tuple(getattr(body, field) for field in fields)
-        other = seen.setdefault(place, body)
+        field_values = tuple(getattr(body, field) for field in fields)
+        other = seen.setdefault(field_values, body)
         if other is not body:
             object_id = subject(kind_of(body), body.name)
-            found = ", ".join(str(part) for part in place)
+            found = ", ".join(str(part) for part in field_values)
             allowed = f"already used by {subject(kind_of(body), other.name)}"
-            mistakes.append(FieldError(object_id, "/".join(fields), found, allowed))
-    return mistakes
+            field_errors.append(FieldError(object_id, "/".join(fields), found, allowed))
+    return field_errors
--- a/kumquatshift/direct/members.py
+++ b/kumquatshift/direct/members.py
@@ -72,7 +72,7 @@
 class ReceivedHeartbeat(NamedTuple):
     """A heartbeat and the time of its arrival."""
 
-    beat: PeerHeartbeat
+    heartbeat: PeerHeartbeat
     at: float
 
 
@@ -87,14 +87,17 @@
         self._candidates: dict[str, Member] = {}
         self._queriers: dict[str, tuple[Member, float]] = {}
 
-    def receive_heartbeat(self, beat: PeerHeartbeat, now: float) -> None:
+    def receive_heartbeat(self, heartbeat: PeerHeartbeat, now: float) -> None:
         """Process a heartbeat."""
-        if beat.name == self.me.name:
+        if heartbeat.name == self.me.name:
             return
-        if beat.name not in self._heartbeats and beat.domain == self.me.domain:
-            self._events.emit(Event.PEER_JOINED, peer=beat.name)
-        self._heartbeats[beat.name] = ReceivedHeartbeat(beat, now)
-        self._candidates.pop(beat.name, None)
+        if (
+            heartbeat.name not in self._heartbeats
+            and heartbeat.domain == self.me.domain
+        ):
+            self._events.emit(Event.PEER_JOINED, peer=heartbeat.name)
+        self._heartbeats[heartbeat.name] = ReceivedHeartbeat(heartbeat, now)
+        self._candidates.pop(heartbeat.name, None)
 
     def add_candidates(self, members: Iterable[Member]) -> None:
         """Add entries of the own domain that have not sent a heartbeat yet."""
@@ -119,7 +122,7 @@
         for name, received in list(self._heartbeats.items()):
             if now - received.at > PEER_TIMEOUT_S:
                 del self._heartbeats[name]
-                if received.beat.domain == self.me.domain:
+                if received.heartbeat.domain == self.me.domain:
                     self._events.emit(
                         Event.PEER_LOST, peer=name, silent_s=round(now - received.at, 3)
                     )
@@ -130,14 +133,14 @@
         return [
             received
             for received in self._heartbeats.values()
-            if received.beat.domain == own
+            if received.heartbeat.domain == own
         ]
 
     def domain_members(self, domain: str) -> tuple[Member, ...]:
         """Return known entries of any domain, from heartbeats and queries."""
         received = {
-            beat.name: Member(beat.name, beat.domain, beat.address)
-            for beat, _ in self._heartbeats.values()
+            heartbeat.name: Member(heartbeat.name, heartbeat.domain, heartbeat.address)
+            for heartbeat, _ in self._heartbeats.values()
         }
         queriers = {name: member for name, (member, _) in self._queriers.items()}
         found = {**queriers, **received}
@@ -145,7 +148,7 @@
 
     def addresses(self) -> list[tuple[str, int]]:
         """Return the addresses to send heartbeats to: peers and candidates."""
-        found = {received.beat.address for received in self.peers()}
+        found = {received.heartbeat.address for received in self.peers()}
         found.update(member.address for member in self._candidates.values())
         return sorted(found)
 
@@ -160,7 +163,7 @@
     def names(self) -> list[str]:
         """Return the names of the domain's entries, this one included."""
         return sorted(
-            [self.me.name, *(received.beat.name for received in self.peers())]
+            [self.me.name, *(received.heartbeat.name for received in self.peers())]
         )
 
     def uses_readers(self) -> bool:
@@ -172,12 +175,14 @@
 
         While no entry reaches the store, the readers are those that retry often.
         """
-        remaining = [h.beat for h in self.peers() if not h.beat.is_leaving]
-        eligible = [beat.name for beat in remaining if beat.reaches_store]
+        remaining = [h.heartbeat for h in self.peers() if not h.heartbeat.is_leaving]
+        eligible = [
+            heartbeat.name for heartbeat in remaining if heartbeat.reaches_store
+        ]
         if reaches_store:
             eligible.append(self.me.name)
         if not eligible:
-            eligible = [self.me.name, *(beat.name for beat in remaining)]
+            eligible = [self.me.name, *(heartbeat.name for heartbeat in remaining)]
         eligible.sort(key=lambda name: _score(kind, name), reverse=True)
         return self.me.name in eligible[:READERS_PER_DOMAIN]
 
--- a/kumquatshift/direct/peer_updates.py
+++ b/kumquatshift/direct/peer_updates.py
@@ -1,11 +1,11 @@
 """Selection of peers to read store updates from, and limits on serving them.
 
-Each heartbeat carries a `Tick` per kind of object: the sender's revision, and how
-old it is. While that of any reader is fresh, an entry makes no calls to the store;
+Each heartbeat carries a `FeedStatus` per kind of object: the sender's revision, and
+how old it is. While that of any reader is fresh, an entry makes no calls to the store;
 otherwise it reads the store itself, whatever the readers do.
 
-This is designed for configurations of thousands of routes, which all followers
-request within milliseconds, in domains of small machines. Every entry that has
+The expected load is a configuration of thousands of routes, which all followers
+request within milliseconds, in a domain of small machines. Every entry that has
 an update serves it, but to no more followers at once than its link can carry.
 """
 
@@ -88,10 +88,10 @@
 
     def _statuses(self) -> Iterator[tuple[tuple[str, int], FeedStatus, float]]:
         """Yield the status for this kind of each peer, with address and arrival."""
-        for beat, at in self._members.peers():
-            for status in beat.statuses:
+        for heartbeat, at in self._members.peers():
+            for status in heartbeat.statuses:
                 if status.kind == self._kind:
-                    yield beat.address, status, at
+                    yield heartbeat.address, status, at
 
 
 class TransferLimiter:
--- a/kumquatshift/direct/placement.py
+++ b/kumquatshift/direct/placement.py
@@ -3,8 +3,9 @@
 Targets in the entry's own failure domain are preferred: such a flow survives
 network partitions between domains and causes no cross-domain traffic. A flow
 goes to another domain only if its own has no usable target, or if the load there
-outweighs the cost of crossing domains. This handles domains that are cut off,
-evacuated or short of targets, and bursts beyond the capacity of a domain.
+outweighs the cost of crossing domains. This handles domains that are
+unreachable, evacuated or short of targets, and bursts beyond the capacity of a
+domain.
 """
 
 from __future__ import annotations
--- a/kumquatshift/direct/steering.py
+++ b/kumquatshift/direct/steering.py
@@ -38,8 +38,8 @@
 STICKY_FLOW_S = 2.0
 
 # Flows with a cookie of no known target are remembered until their callers give
-# up. The limit covers all flows that a zone's callers may hold when all of its
-# targets are replaced.
+# up. The limit covers all flows that the callers of one domain may have open when
+# all of its targets are replaced.
 MAX_UNKNOWN_FLOWS = 4096
 UNKNOWN_FLOW_TTL_S = 10.0
 
--- a/kumquatshift/direct/targets.py
+++ b/kumquatshift/direct/targets.py
@@ -16,7 +16,7 @@
     """State that one incarnation of a target reports about itself.
 
     ``incarnation`` differs for each start under the same name, ``key`` holds the
-    bytes that address this target in a datagram, and `warmup_left_s` is its
+    bytes that address this target in a datagram, and ``warmup_left_s`` is its
     remaining warm-up time. A draining target keeps its flows and gets no new
     ones.
     """
@@ -35,7 +35,7 @@
 class LiveTarget:
     """One incarnation of a target, and what this entry has observed of it.
 
-    `last_answer_at` is when a packet last proved that the target answers.
+    ``last_answer_at`` is when a packet last proved that the target answers.
     ``complaints`` counts flows that have retransmitted without progress since
     then, and ``peer_complaints`` those that each peer has reported.
     ``probe_sent_at`` is when a suspected target was first sent a packet that
--- a/kumquatshift/engine/concurrency_limiter.py
+++ b/kumquatshift/engine/concurrency_limiter.py
@@ -1,9 +1,10 @@
 """Adaptive concurrency limit of a target, adjusted by its answers.
 
-A target of unproven capacity is cold: its limit is one request in flight.
-Successful answers raise the limit up to the target's slots, a shed request
-halves it, and a lost answer or a jump in latency makes the target cold again.
-Loads that targets report only break ties, since answers are the better evidence.
+A target whose capacity is not known yet is cold: its limit is one request in
+flight. Successful answers raise the limit up to the target's slots, a shed
+request halves it, and a lost answer or a jump in latency makes the target cold
+again. Loads that targets report only break ties, since answers are the better
+evidence.
 """
 
 from dataclasses import dataclass, field
@@ -105,7 +106,11 @@
     def record_success(
         self, service: str, latency_s: float, peer_latency_s: float, now: float
     ):
-        """Record a success; `peers_s` is the latency of other warm targets, or 0."""
+        """Record a success.
+
+        ``peer_latency_s`` is the median latency of the other warm targets, or 0 if
+        there are none.
+        """
         self._finish_request(service, latency_s, now)
         self.pause_s = PAUSE_MIN_S
         self.consecutive_errors = 0
--- a/kumquatshift/engine/decisions.py
+++ b/kumquatshift/engine/decisions.py
@@ -67,7 +67,7 @@
 class Refuse:
     """Send the refusal ``data`` to the caller.
 
-    With `record_fields`, the record passes the other holders first: the refusal says
+    With ``record_fields``, the record passes the other holders first: the refusal says
     "not run", so none of them may forward the request later.
     """
 
--- a/kumquatshift/engine/dispatch.py
+++ b/kumquatshift/engine/dispatch.py
@@ -55,8 +55,8 @@
         entry if it is one, are reachable and have run for
         `Profile.repeat_span_s`. Each decision passes all reachable holders, so
         any two decisions share a holder that sees both. An entry that has just
-        started does not count as a witness, but may decide while the other two
-        holders are witnesses.
+        started is a non-voter, but may decide while the other two holders are
+        voters.
         """
         ...
 
--- a/kumquatshift/engine/entry.py
+++ b/kumquatshift/engine/entry.py
@@ -91,7 +91,7 @@
     def objects(self, objects: Iterable[Versioned]) -> list[Action]:
         """Handle configuration objects from the platform or from a peer."""
         now = self._advance()
-        before = self._domains_in()
+        before = self._domains_in_service()
         changed = self.node.store.merge(objects)
         if not changed:
             return []
@@ -205,8 +205,8 @@
         waited_s = now - self._started_at
         has_config = bool(node.store.objects())
         alone = not node.members.members
-        in_step = waited_s > MIN_JOIN_S and (alone or self._config_in_sync(now))
-        if has_config and (in_step or waited_s > MAX_JOIN_S):
+        in_sync = waited_s > MIN_JOIN_S and (alone or self._config_in_sync(now))
+        if has_config and (in_sync or waited_s > MAX_JOIN_S):
             node.state = EntryState.LIVE
 
     def _config_in_sync(self, now):
@@ -225,20 +225,20 @@
     def _fresh_since(self):
         return max(self._started_at, self.node.resumed_at)
 
-    def _receive_heartbeat(self, beat: Heartbeat, now: float) -> list[Action]:
+    def _receive_heartbeat(self, heartbeat: Heartbeat, now: float) -> list[Action]:
         node = self.node
-        known = node.members.members.get(beat.name)
-        is_new = known is None or known.incarnation != beat.incarnation
+        known = node.members.members.get(heartbeat.name)
+        is_new = known is None or known.incarnation != heartbeat.incarnation
         was_away = known is not None and not node.members.is_recently_heard(known, now)
-        if not node.members.record_heartbeat(beat, now):
+        if not node.members.record_heartbeat(heartbeat, now):
             return []
         self._refresh_ring(now)
         actions = []
         if is_new or was_away:
             # Reply at once, so that the peer learns that its heartbeats arrive.
-            actions.append(SendPeer(beat.name, self._make_heartbeat(now)))
-        if beat.digest != node.store.digest:
-            actions.append(SyncConfig(beat.name))
+            actions.append(SendPeer(heartbeat.name, self._make_heartbeat(now)))
+        if heartbeat.digest != node.store.digest:
+            actions.append(SyncConfig(heartbeat.name))
         return actions
 
     def _refresh_ring(self, now):
@@ -258,8 +258,8 @@
 
     def _send_heartbeats(self, now):
         self._next_heartbeat = now + self.node.timers.heartbeat_s
-        beat = self._make_heartbeat(now)
-        return [SendPeer(name, beat) for name in self.node.members.members]
+        heartbeat = self._make_heartbeat(now)
+        return [SendPeer(name, heartbeat) for name in self.node.members.members]
 
     def _make_heartbeat(self, now):
         node = self.node
@@ -277,11 +277,11 @@
 
     def _update_watches(self):
         """Watch the platform if this entry is one of its domain's readers."""
-        hold = self._is_reader()
-        if hold == self.watching:
+        is_reader = self._is_reader()
+        if is_reader == self.watching:
             return []
-        self.watching = hold
-        return [WatchPlatform(hold)]
+        self.watching = is_reader
+        return [WatchPlatform(is_reader)]
 
     def _is_reader(self):
         node = self.node
@@ -298,7 +298,7 @@
         ranked = sorted([*names, node.name], key=lambda name: score(bucket, name))
         return node.name in ranked[:READERS_PER_DOMAIN]
 
-    def _domains_in(self):
+    def _domains_in_service(self):
         domains = self.node.store.domains
         return {name for name in domains if self.node.store.domain_in_service(name)}
 
@@ -306,6 +306,6 @@
         node = self.node
         starting = now - self._started_at < MIN_JOIN_S
         node.chooser.update_targets(node.store.targets, now, warm=starting)
-        for name in self._domains_in() - before:
+        for name in self._domains_in_service() - before:
             if node.store.get(Kind.DOMAIN, name).version and not starting:
                 node.chooser.restart_warm_up(name, node.store.targets, now)
--- a/kumquatshift/engine/holders.py
+++ b/kumquatshift/engine/holders.py
@@ -7,7 +7,7 @@
 time is over, the entry is a voter: it can tell new requests from repeated ones.
 
 A request that must not be executed twice is forwarded only while two of the three
-holders are reachable voters. Any two such majorities have a holder in common, so
+holders are reachable voters. Any two such quorums have a holder in common, so
 the two sides of a network partition never both execute the request.
 """
 
@@ -61,8 +61,8 @@
         if not node.members.members:
             return own
         holders = self._holders(flow)
-        inside = node.name in (holder.name for holder in holders)
-        voters = len(self.voters(flow)) + (inside and own)
+        is_holder = node.name in (holder.name for holder in holders)
+        voters = len(self.voters(flow)) + (is_holder and own)
         return 2 * voters > len(holders)
 
     def quiet_time_over(self, view: ServiceView, now: float) -> bool:
@@ -82,7 +82,7 @@
     def non_voters(self, flow: bytes) -> tuple[str, ...]:
         """Return the other reachable holders still in their quiet time.
 
-        They store records but don't count towards the majority.
+        They store records but don't count towards the quorum.
         """
         now, view = self._node.clock.seconds(), self.view(flow)
         alive = self._node.members.ring.names
--- a/kumquatshift/engine/members.py
+++ b/kumquatshift/engine/members.py
@@ -73,8 +73,8 @@
 class Membership:
     """The members known to one entry, and the rings built from them.
 
-    ``ring`` has the live entries in reach. ``known`` also has the entries that are
-    out of reach but may still be running.
+    ``ring`` has the live entries that are reachable. ``known`` also has unreachable
+    entries that may still be running.
     """
 
     def __init__(
@@ -91,7 +91,7 @@
         self.ring = Ring([])
         self.known = Ring([])
         self.reachable_domains: frozenset[str] = frozenset()
-        self._domain_in = domain_in_service
+        self._domain_in_service = domain_in_service
         self._latest: dict[str, tuple[int, int]] = {}
 
     def list_vms(self, vms: Iterable[Vm], now: float) -> None:
@@ -106,31 +106,34 @@
         for name, member in self.members.items():
             member.listed = name in listed
 
-    def record_heartbeat(self, beat: Heartbeat, now: float) -> bool:
+    def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> bool:
         """Record a heartbeat; return False if it is out of date."""
-        latest = self._latest.get(beat.name, (0, 0))
-        if beat.name == self.me.name or (beat.incarnation, beat.sequence) <= latest:
+        latest = self._latest.get(heartbeat.name, (0, 0))
+        if (
+            heartbeat.name == self.me.name
+            or (heartbeat.incarnation, heartbeat.sequence) <= latest
+        ):
             return False
-        member = self.members.get(beat.name)
+        member = self.members.get(heartbeat.name)
         if member is None:
-            member = Member(Vm(beat.name, beat.domain, beat.address))
+            member = Member(Vm(heartbeat.name, heartbeat.domain, heartbeat.address))
             member.listed = False
-            self.members[beat.name] = member
+            self.members[heartbeat.name] = member
         if (
             not self.is_recently_heard(member, now)
-            or member.incarnation != beat.incarnation
+            or member.incarnation != heartbeat.incarnation
         ):
             member.heard_since = now
-        self._latest[beat.name] = (beat.incarnation, beat.sequence)
-        if member.incarnation != beat.incarnation:
+        self._latest[heartbeat.name] = (heartbeat.incarnation, heartbeat.sequence)
+        if member.incarnation != heartbeat.incarnation:
             member.first_heard = now
-        member.domain = beat.domain
-        member.address = beat.address
-        member.incarnation = beat.incarnation
-        member.sequence = beat.sequence
-        member.state = beat.state
-        member.digest = beat.digest
-        member.hears_us = self.me.name in beat.heard
+        member.domain = heartbeat.domain
+        member.address = heartbeat.address
+        member.incarnation = heartbeat.incarnation
+        member.sequence = heartbeat.sequence
+        member.state = heartbeat.state
+        member.digest = heartbeat.digest
+        member.hears_us = self.me.name in heartbeat.heard
         member.last_heard = now
         return True
 
@@ -186,7 +189,7 @@
         serving = [m for m in self.members.values() if self._may_serve(m)]
         known = [_ring_entry(member) for member in serving]
         entries = [_ring_entry(member) for member in serving if self.alive(member, now)]
-        if include_self and self._domain_in(self.me.domain):
+        if include_self and self._domain_in_service(self.me.domain):
             me = RingEntry(self.me.name, self.me.domain, self.incarnation)
             entries.append(me)
             known.append(me)
@@ -208,11 +211,13 @@
             for member in self.members.values()
             if self.alive(member, now)
             and member.state is EntryState.LEAVING
-            and self._domain_in(member.domain)
+            and self._domain_in_service(member.domain)
         )
 
     def _may_serve(self, member):
-        return member.state is EntryState.LIVE and self._domain_in(member.domain)
+        return member.state is EntryState.LIVE and self._domain_in_service(
+            member.domain
+        )
 
     def _forget(self, now):
         gone = [
--- a/kumquatshift/engine/priority.py
+++ b/kumquatshift/engine/priority.py
@@ -14,7 +14,7 @@
 class Claim:
     """A request's claim to a slot.
 
-    `claim_id` identifies the claim; ``deadline`` is a time in seconds; ``pinned``
+    ``claim_id`` identifies the claim; ``deadline`` is a time in seconds; ``pinned``
     is the only eligible target, if set; ``avoid`` are targets that have already
     been tried.
     """
--- a/kumquatshift/engine/request_router.py
+++ b/kumquatshift/engine/request_router.py
@@ -48,12 +48,12 @@
     @property
     def counts(self) -> dict[str, int]:
         """Number of discarded packets, retries and refusals, by cause."""
-        stopped = {f"requests-{c}": n for c, n in self._policy.counts.items()}
+        discarded = {f"requests-{c}": n for c, n in self._policy.counts.items()}
         refused = {
             f"refused-{kind}-{cause}": n
             for (kind, cause), n in self._policy.refused.items()
         }
-        return stopped | refused
+        return discarded | refused
 
     def latencies(self) -> list[tuple[str, float]]:
         """Return profile and latency in s of requests answered since the last call."""
@@ -109,16 +109,18 @@
         """Handle a packet from a target as the flow's primary."""
         return self._actions_for(self._policy.response(reverse_key(data), data, now))
 
-    def hold(self, relay: Relay, view: ServiceView, now: float) -> list[Action]:
-        """Adopt the primary's decision, and relay the packet further."""
+    def adopt_and_relay(
+        self, relay: Relay, view: ServiceView, now: float
+    ) -> list[Action]:
+        """Adopt the primary's decision as a holder, and relay the packet further."""
         record = relay.record
         name = view.service.name
         if record.service != view.created:
             return [self._node.drop(DropReason.UNKNOWN_SERVICE)]
         adopted = self._policy.adopt(name, record, now)
-        counts_as_witness = relay.copies > 0
+        counts_as_voter = relay.copies > 0
         if not adopted or (
-            counts_as_witness and not self._holders.quiet_time_over(view, now)
+            counts_as_voter and not self._holders.quiet_time_over(view, now)
         ):
             return [self._node.drop(DropReason.CONTRADICTED)]
         return self._send_along_path(relay.path, record, relay.data, relay.copies - 1)
@@ -211,7 +213,8 @@
     def _send_along_path(self, path, record, data, voters):
         """Relay a record and its packet through the path, or deliver the packet.
 
-        The first ``voters`` entries of the path must be witnesses.
+        The first ``voters`` entries of the path must be voters; the others only store
+        the record.
         """
         if path:
             relay = Relay(
--- a/kumquatshift/engine/requests.py
+++ b/kumquatshift/engine/requests.py
@@ -256,7 +256,7 @@
             watch.is_watch = False
             timeout_s = self.dispatcher.profile(watch.service).request_timeout_s
             self.dispatcher.schedule_check(watch, now + timeout_s)
-        return self._pass_to_target(watch, datagram, header.mid)
+        return self._forward_to_target(watch, datagram, header.mid)
 
     def _assign_target(self, exchange, options, now):
         """Choose a target; later blocks go to the target of the first block."""
@@ -305,7 +305,7 @@
         self.dispatcher.abandon(known, now)
         self._store_adopted(adopted, now)
 
-    def _pass_to_target(self, exchange, datagram, mid):
+    def _forward_to_target(self, exchange, datagram, mid):
         data = self.dispatcher.rewrite_for_target(exchange, datagram, mid)
         return ForwardToTarget(exchange.target, data)
 
--- a/kumquatshift/engine/router.py
+++ b/kumquatshift/engine/router.py
@@ -84,7 +84,7 @@
         if view is None:
             return [node.drop(DropReason.UNKNOWN_SERVICE)]
         if relay.record is not None and view.takes_requests:
-            return self._requests.hold(relay, view, now)
+            return self._requests.adopt_and_relay(relay, view, now)
         if relay.record is not None:
             return self._forward_along_path(relay, view, now)
         return self._redirect(relay, view, now)
@@ -397,8 +397,8 @@
         heartbeat_s = node.timers.heartbeat_s
         if opened_s > node.members.last_heard(domain) + heartbeat_s:
             return True
-        notice_s = node.timers.suspect_s + heartbeat_s
-        return flow.opened_here and opened_s > node.ring_changed_at - notice_s
+        detection_s = node.timers.suspect_s + heartbeat_s
+        return flow.opened_here and opened_s > node.ring_changed_at - detection_s
 
     def _end_silent(self, flow, view, data, now):
         """Reset a silent TCP flow at both ends; reopen a datagram flow elsewhere."""
--- a/kumquatshift/engine/slots.py
+++ b/kumquatshift/engine/slots.py
@@ -97,7 +97,7 @@
     """Grants the slots of a set of targets to the claims of several services.
 
     Targets with the same host share its slots. Times are in seconds. Targets in
-    `unreachable_domains` get no new work, except the later blocks of a block-wise
+    ``unreachable_domains`` get no new work, except the later blocks of a block-wise
     transfer that already goes to one of them. A pool counts only the slots that it
     granted itself, so two pools with the same target don't see each other's requests.
     """
--- a/kumquatshift/engine/sweep.py
+++ b/kumquatshift/engine/sweep.py
@@ -147,8 +147,8 @@
         not have reached the entries after the failed one on its path.
         """
         timers = self._node.timers
-        notice_s = timers.suspect_s + timers.heartbeat_s
-        return flow.replicated_at > self._node.ring_changed_at - notice_s
+        detection_s = timers.suspect_s + timers.heartbeat_s
+        return flow.replicated_at > self._node.ring_changed_at - detection_s
 
     def _expired(self, flow, now):
         node = self._node
@@ -173,8 +173,8 @@
         return idle_s > limit_s
 
 
-def _batches(place, records):
-    peer, _service = place
+def _batches(destination, records):
+    peer, _service = destination
     return [
         SendPeer(peer, RecordBatch(tuple(records[start : start + RECORDS_PER_BATCH])))
         for start in range(0, len(records), RECORDS_PER_BATCH)
--- a/kumquatshift/eventlog.py
+++ b/kumquatshift/eventlog.py
@@ -20,7 +20,7 @@
 OTHER_LINES_PER_S = 50
 ROUTINE = frozenset({Event.FLOW_OPENED})
 
-# Some hundred lines: covers a short pause of the reader.
+# A few hundred lines: covers a short pause of the reader.
 MAX_BUFFERED_BYTES = 64 * 1024
 
 
--- a/kumquatshift/fields.py
+++ b/kumquatshift/fields.py
@@ -54,7 +54,7 @@
 
     @property
     def allowed(self):
-        """Say the range."""
+        """Description of the range."""
         unit = f" {self.unit}" if self.unit else ""
         return f"allowed: a number from {self.low:g} to {self.high:g}{unit}"
 
@@ -83,7 +83,7 @@
 
     @property
     def allowed(self):
-        """Say the range."""
+        """Description of the range."""
         return f"allowed: a whole number from {self.low} to {self.high}"
 
     def read(self, value):
@@ -110,7 +110,7 @@
 
     @property
     def allowed(self):
-        """Return the list of values."""
+        """Description of the values."""
         return "allowed: " + ", ".join(self.words)
 
     def read(self, value):
--- a/kumquatshift/keys.py
+++ b/kumquatshift/keys.py
@@ -4,7 +4,7 @@
 digest is BLAKE2b (RFC 7693) with a key from the settings::
 
     sealer = Sealer.from_config(cfg.keys)
-    data = sealer.open(sealer.seal(b"beat"))
+    data = sealer.open(sealer.seal(b"heartbeat"))
 
 `open` accepts the current and the previous key, so that during a key rotation
 entries never reject each other. The digest neither encrypts the data nor detects
--- a/kumquatshift/platform/entry.py
+++ b/kumquatshift/platform/entry.py
@@ -149,7 +149,7 @@
     def _announce_update(self) -> None:
         """Announce new revisions to peers; accept packets once the site is known."""
         if self._peering is not None:
-            self._peering.check()
+            self._peering.announce_changes()
         if self._site.is_known and not self._accepts_packets:
             self._accepts_packets = True
             self._port.open()
--- a/kumquatshift/platform/objects.py
+++ b/kumquatshift/platform/objects.py
@@ -66,7 +66,7 @@
         host, _, port = spec["address"].rpartition(":")
         socket.inet_aton(host)
         # Remaining warm-up time, not the time since the start.
-        warms_for_ms = _within(spec.get("warmupLeftMs", 0), 0, 3_600_000)
+        warmup_left_ms = _within(spec.get("warmupLeftMs", 0), 0, 3_600_000)
         return Report(
             name=name,
             key=int(name.rpartition("-")[2], 16).to_bytes(8, "big"),
@@ -76,7 +76,7 @@
             address=(host, _within(int(port), 1, 65_535)),
             slots=_within(spec["maxConcurrency"], 1, 1_000_000),
             drains=DRAINING_BY_STATE[spec["state"]],
-            warmup_left_s=warms_for_ms / 1000,
+            warmup_left_s=warmup_left_ms / 1000,
         )
     except (ValueError, TypeError, KeyError, AttributeError, OSError) as exc:
         raise UnreadableError(f"invalid target {name!r}: {exc!r}") from exc
--- a/kumquatshift/platform/store.py
+++ b/kumquatshift/platform/store.py
@@ -38,10 +38,10 @@
 
     def __init__(self, reactor, address: tuple[str, int], feed: Feed):
         self._reactor = reactor
-        self._caller = HttpConnection(reactor, address)
+        self._store_connection = HttpConnection(reactor, address)
         self._feed = feed
         self.codec: NewsCodec | None = None
-        self._peer: HttpConnection | None = None
+        self._peer_connection: HttpConnection | None = None
         self.outcomes: dict[str, int] = {}
         self.call_latencies: deque[float] = deque(maxlen=MAX_LATENCY_SAMPLES)
         self._call_started_at = 0.0
@@ -57,9 +57,9 @@
         """Stop making calls and close the connections."""
         self._is_stopped = True
         self._cancel()
-        self._caller.close()
-        if self._peer is not None:
-            self._peer.close()
+        self._store_connection.close()
+        if self._peer_connection is not None:
+            self._peer_connection.close()
 
     def wake(self) -> None:
         """Poll the feed for its next call at once if it is following a peer."""
@@ -85,16 +85,23 @@
         else:
             self._call_started_at = self._reactor.seconds()
             done = self._on_list if isinstance(call, ListCall) else self._on_watch
-            self._caller.call("GET", request_path(call), b"", call.timeout_s, done)
+            self._store_connection.call(
+                "GET", request_path(call), b"", call.timeout_s, done
+            )
 
     def _call_peer(self, call: PeerUpdateCall) -> None:
         """Call a peer; its connection is kept open for the next call."""
-        if self._peer is None or self._peer.address != call.address:
-            if self._peer is not None:
-                self._peer.close()
-            self._peer = HttpConnection(self._reactor, call.address)
+        if (
+            self._peer_connection is None
+            or self._peer_connection.address != call.address
+        ):
+            if self._peer_connection is not None:
+                self._peer_connection.close()
+            self._peer_connection = HttpConnection(self._reactor, call.address)
         path = self.codec.path(call.kind, call.since)
-        self._peer.call("GET", path, b"", call.timeout_s, self._on_peer_answer)
+        self._peer_connection.call(
+            "GET", path, b"", call.timeout_s, self._on_peer_answer
+        )
 
     def _on_peer_answer(self, answer: Response | CallFailure) -> None:
         if isinstance(answer, Response) and answer.status == BUSY_STATUS:
@@ -123,23 +130,23 @@
         self,
         answer: Response | CallFailure,
         decode: Callable[[bytes], Decoded],
-        take: Callable[[Decoded, float], None],
-        fail: Callable[[str, str, float], None],
+        on_decoded: Callable[[Decoded, float], None],
+        on_failure: Callable[[str, str, float], None],
     ) -> None:
         """Pass the decoded response to the feed, or the reason for a failure."""
         now = self._reactor.seconds()
         if isinstance(answer, CallFailure):
-            fail(answer.failure, answer.detail, now)
+            on_failure(answer.failure, answer.detail, now)
         elif answer.status != 200:
             failure = FAILURES.get(answer.status, Failure.UNAVAILABLE)
-            fail(failure, f"status {answer.status}", now)
+            on_failure(failure, f"status {answer.status}", now)
         else:
             try:
                 decoded = decode(answer.body)
             except ValueError as exc:
-                fail(Failure.UNREADABLE, str(exc), now)
+                on_failure(Failure.UNREADABLE, str(exc), now)
             else:
-                take(decoded, now)
+                on_decoded(decoded, now)
         self._schedule_next()
 
     def _schedule_next(self) -> None:
--- a/kumquatshift/platform_port.py
+++ b/kumquatshift/platform_port.py
@@ -72,7 +72,7 @@
 
 
 class Platform(Protocol):
-    """The platform's object API; every call ends within a time-out."""
+    """The platform's object API; every call ends within a timeout."""
 
     def list_objects(self, kind: Kind | None = None) -> Deferred:
         """Fire with ``Result[Listing, Failure]``."""
--- a/kumquatshift/programs/bench.py
+++ b/kumquatshift/programs/bench.py
@@ -21,7 +21,7 @@
 
 
 class BenchCommand:
-    """Generates the load described by an INI file, and prints the measures."""
+    """Generates the load described by an INI file, and prints the results."""
 
     def __init__(self, env: Environment):
         self._env = env
--- a/kumquatshift/settings/problems.py
+++ b/kumquatshift/settings/problems.py
@@ -23,8 +23,8 @@
     allowed: str
 
     def __str__(self):
-        place = f"[{self.section}] {self.key}".strip() if self.section else "file"
-        return f"{place}: found {self.found}; allowed: {self.allowed}"
+        location = f"[{self.section}] {self.key}".strip() if self.section else "file"
+        return f"{location}: found {self.found}; allowed: {self.allowed}"
 
 
 def unknown_section(name: str, known: Iterable[str]) -> Problem:
--- a/kumquatshift/tls.py
+++ b/kumquatshift/tls.py
@@ -44,7 +44,7 @@
     credentials = grpc.ssl_channel_credentials(
         _read_file(section.ca), _read_file(section.key), _read_file(section.certificate)
     )
-    return lambda place: grpc.aio.secure_channel(place, credentials)
+    return lambda endpoint: grpc.aio.secure_channel(endpoint, credentials)
 
 
 def admin_context(section: TlsSection) -> CertificateOptions | None:
