--- a/kumquatshift/direct/lifecycle.py
+++ b/kumquatshift/direct/lifecycle.py
@@ -22,7 +22,7 @@
     """Tracks the shutdown of one entry."""
 
     def __init__(self, stop_s: float):
-        self._longest_stop_s = max(0.0, stop_s - STOP_MARGIN_S)
+        self._max_stop_s = max(0.0, stop_s - STOP_MARGIN_S)
         self._stopping_since: float | None = None
 
     @property
@@ -40,6 +40,6 @@
         if self._stopping_since is None:
             return False
         stopping_s = now - self._stopping_since
-        if stopping_s >= self._longest_stop_s:
+        if stopping_s >= self._max_stop_s:
             return True
         return stopping_s >= OUT_OF_ROTATION_S and now - last_packet_at >= QUIET_S
--- a/kumquatshift/engine/dispatch.py
+++ b/kumquatshift/engine/dispatch.py
@@ -81,7 +81,7 @@
         """Return the profile of a service, or the default one if it was removed."""
         return self.profiles.get(service) or Profile(service)
 
-    def place(self, exchange: Exchange, pinned: str, now: float) -> list[Decision]:
+    def assign(self, exchange: Exchange, pinned: str, now: float) -> list[Decision]:
         """Claim a slot for a new exchange, at the target ``pinned`` if given."""
         if not self._may_forward(exchange):
             return [self.refuse_outcome_unknown(exchange, now)]
--- a/kumquatshift/engine/requests.py
+++ b/kumquatshift/engine/requests.py
@@ -261,12 +261,12 @@
     def _assign_target(self, exchange, options, now):
         """Choose a target; later blocks go to the target of the first block."""
         if not options.block:
-            return self.dispatcher.place(exchange, "", now)
+            return self.dispatcher.assign(exchange, "", now)
         first = self.exchanges.by_resource(exchange.flow, exchange.path_digest)
         if first is not None:
-            return self.dispatcher.place(exchange, first.target, now)
+            return self.dispatcher.assign(exchange, first.target, now)
         if exchange.is_idempotent:
-            return self.dispatcher.place(exchange, "", now)
+            return self.dispatcher.assign(exchange, "", now)
         cause = Cause.FIRST_BLOCK_UNKNOWN
         return [self.dispatcher.refuse_unsent(exchange, cause, now)]
 
--- a/kumquatshift/engine/slots.py
+++ b/kumquatshift/engine/slots.py
@@ -250,7 +250,7 @@
         free = [
             target
             for target in self._candidates(claim)
-            if self._has_room(target, claim.service, now)
+            if self._has_capacity(target, claim.service, now)
         ]
         if not free:
             return None
@@ -268,7 +268,7 @@
             and target.domain not in self.unreachable_domains
         ]
 
-    def _has_room(self, target, service, now):
+    def _has_capacity(self, target, service, now):
         limiter = self.hosts[target.host]
         return limiter.has_capacity(service, self._reserved[target.host], now)
 
