--- a/kumquatshift/adapters/peer_service.py
+++ b/kumquatshift/adapters/peer_service.py
@@ -22,8 +22,8 @@
 from .http_server import BUSY_STATUS, PageResponse, PageServer
 from .peers import NEWS_PATH, HeartbeatPort, NewsCodec
 
-# Entries that start at the same time have received heartbeats from each other by
-# then.
+# Entries that start at the same time have received heartbeats from each other
+# within this time.
 DISCOVERY_S = 2.0
 
 # Changes that occur within this time are announced in one heartbeat.
