--- a/kumquatshift/engine/dispatch.py
+++ b/kumquatshift/engine/dispatch.py
@@ -55,8 +55,8 @@
         entry if it is one, are reachable and have run for
         `Profile.repeat_span_s`. Each decision passes all reachable holders, so
         any two decisions share a holder that sees both. An entry that has just
-        started does not count as a witness, but may decide while the other two
-        holders are witnesses.
+        started is a non-voter, but may decide while the other two holders are
+        voters.
         """
         ...
 
@@ -81,7 +81,7 @@
         """Return the profile of a service, or the default one if it was removed."""
         return self.profiles.get(service) or Profile(service)
 
-    def place(self, exchange: Exchange, pinned: str, now: float) -> list[Decision]:
+    def assign(self, exchange: Exchange, pinned: str, now: float) -> list[Decision]:
         """Claim a slot for a new exchange, at the target ``pinned`` if given."""
         if not self._may_forward(exchange):
             return [self.refuse_outcome_unknown(exchange, now)]
--- a/kumquatshift/engine/slots.py
+++ b/kumquatshift/engine/slots.py
@@ -97,7 +97,7 @@
     """Grants the slots of a set of targets to the claims of several services.
 
     Targets with the same host share its slots. Times are in seconds. Targets in
-    `unreachable_domains` get no new work, except the later blocks of a block-wise
+    ``unreachable_domains`` get no new work, except the later blocks of a block-wise
     transfer that already goes to one of them. A pool counts only the slots that it
     granted itself, so two pools with the same target don't see each other's requests.
     """
@@ -250,7 +250,7 @@
         free = [
             target
             for target in self._candidates(claim)
-            if self._has_room(target, claim.service, now)
+            if self._has_capacity(target, claim.service, now)
         ]
         if not free:
             return None
@@ -268,7 +268,7 @@
             and target.domain not in self.unreachable_domains
         ]
 
-    def _has_room(self, target, service, now):
+    def _has_capacity(self, target, service, now):
         limiter = self.hosts[target.host]
         return limiter.has_capacity(service, self._reserved[target.host], now)
 
