--- a/tests/features/allowance.feature
+++ b/tests/features/allowance.feature
@@ -1,50 +1,55 @@
-Feature: A target receives no more than it can bear
+Feature: A target receives no more requests than it can handle
+
+  Guards against overload of cold, slow or failing targets, and against idle slots
+  at healthy ones. Each host has a concurrency limit. It starts at 1, grows with fast
+  answers, and falls when the target sheds, loses or fails requests or becomes slow.
+  A request takes a slot by a claim.
 
   Scenario: A new target gets one request at a time
     Given a slot pool of 3 cold targets with 2 slots
-    When 9 claims come
+    When 9 claims arrive
     Then 3 are granted, each on another target, and 6 wait
 
-  Scenario Outline: What answers do to an allowance
+  Scenario Outline: How answers change the concurrency limit
     Given a slot pool of 3 warm targets with 2 slots
     When one target gives <answers>
-    Then its allowance is <allowance>
+    Then its concurrency limit is <limit>
 
     Examples:
-      | answers                            | allowance |
-      | 20 good answers in 0.1 s           | 2         |
-      | 1 shed answer                      | 1         |
-      | 1 lost answer while others answer  | 1         |
-      | 1 lost answer after which it answered | 2      |
-      | 1 lost answer among silence        | 1         |
-      | 1 lost answer among silence and 1 good answers in 0.1 s | 2 |
-      | 1 lost answer among silence and 1 good answers in 0.5 s | 1 |
-      | 4 server errors                    | 2         |
-      | 5 server errors                    | 1         |
-      | 20 good answers in 0.1 s and 5 good answers in 0.5 s | 2 |
-      | 20 good answers in 0.1 s and 6 good answers in 0.5 s | 1 |
-      | 20 good answers in 0.1 s and 9 good answers in 0.5 s | 1 |
-      | 1 lost answer while others answer and 8 good answers in 0.1 s | 2 |
-      | 1 lost answer while others answer and 7 good answers in 0.1 s | 1 |
-      | 1 lost answer while others answer and 20 good answers in 0.5 s | 1 |
-
-  Scenario Outline: A target that shed or lost a request rests
+      | answers                                                        | limit |
+      | 20 good answers in 0.1 s                                       | 2     |
+      | 1 shed answer                                                  | 1     |
+      | 1 lost answer while others answer                              | 1     |
+      | 1 lost answer after which it answered                          | 2     |
+      | 1 lost answer among silence                                    | 1     |
+      | 1 lost answer among silence and 1 good answers in 0.1 s        | 2     |
+      | 1 lost answer among silence and 1 good answers in 0.5 s        | 1     |
+      | 4 server errors                                                | 2     |
+      | 5 server errors                                                | 1     |
+      | 20 good answers in 0.1 s and 5 good answers in 0.5 s           | 2     |
+      | 20 good answers in 0.1 s and 6 good answers in 0.5 s           | 1     |
+      | 20 good answers in 0.1 s and 9 good answers in 0.5 s           | 1     |
+      | 1 lost answer while others answer and 8 good answers in 0.1 s  | 2     |
+      | 1 lost answer while others answer and 7 good answers in 0.1 s  | 1     |
+      | 1 lost answer while others answer and 20 good answers in 0.5 s | 1     |
+
+  Scenario Outline: A target that shed or lost a request is paused
     Given a slot pool of 2 warm targets with 2 slots
     When one target gives <answers>
-    Then it gets nothing for <seconds> s, and then one request
+    Then it gets no request for <seconds> s, and then one request
 
     Examples:
       | answers        | seconds |
       | 1 shed answer  | 1.0     |
       | 1 lost answer while others answer | 0.5 |
 
-  Scenario: A slot whose request is not answered comes free before its deadline
+  Scenario: The slot of an unanswered request is released before the request's deadline
     Given a slot pool of 2 warm targets with 2 slots
-    When 9 claims come
+    When 9 claims arrive
     And 3.1 s pass without an answer
-    Then 2 are granted of those that waited, one for each target
+    Then 2 of the waiting claims are granted, one for each target
 
-  Scenario Outline: Reports of endpoints only break ties
+  Scenario Outline: Load reports of targets only break ties
     Given a slot pool of 3 warm targets with 2 slots
     When one target reports a load of <load> that is <age> s old
     And <busy> of its slots are in use
@@ -60,35 +65,35 @@
     Given a request policy
     When requests went to 2 warm targets and a standby takes over
     Then the standby allows 2 targets 2 requests at once, and the others 1
-    And the standby sends 4 requests now, and 2 more a moment later
+    And the standby sends 4 requests now, and 2 more 0.2 s later
 
   Scenario: Services on one host share its slots
     Given a slot pool of 2 hosts that serve 2 services
-    When 9 claims of each service come
-    Then 4 are granted in all
+    When 9 claims of each service arrive
+    Then 4 are granted in total
 
-  Scenario: A retired target gets no new work, and its work ends in peace
+  Scenario: A retired target gets no new requests and completes those in progress
     Given a slot pool of 2 warm targets with 2 slots
-    When 2 claims come
+    When 2 claims arrive
     And one target is retired
-    And 9 claims come
-    Then the retired target has only what it had
+    And 9 claims arrive
+    Then the retired target has no more requests than before
 
-  Scenario Outline: Targets of a domain that is out of reach get no new work
+  Scenario Outline: Targets of an unreachable domain get no new requests
     Given a slot pool of 2 warm targets with 2 slots
-    When the domain "<domain>" is out of reach
-    And 9 claims come
-    Then <number> are granted in all
+    When the domain "<domain>" is unreachable
+    And 9 claims arrive
+    Then <number> are granted in total
 
     Examples:
       | domain | number |
       | north  | 0      |
       | south  | 4      |
 
-  Scenario Outline: Entries that share targets through their domains' owners
+  Scenario Outline: Entries that share targets through the owner in each domain
     Then with seed <seed> a cold target is never overloaded
-    And with seed <seed> a target that turns cold unseen is overloaded at most twice a turn
-    And with seed <seed> work is at most 1.15 times the mean at 70% load
+    And with seed <seed> a target that turns cold unnoticed is overloaded at most twice a turn
+    And with seed <seed> the busiest target has at most 1.15 times the mean work at 70% load
     And with seed <seed> at least 0.95 is answered at 95% load
 
     Examples:
@@ -97,7 +102,7 @@
       | 2    |
       | 3    |
 
-  Scenario Outline: Packets to all targets are lost for 2.5 s
+  Scenario Outline: All packets to targets are lost for 2.5 s
     Then with seed <seed> service is normal 5 s after the gap
 
     Examples:
--- a/tests/features/coap.feature
+++ b/tests/features/coap.feature
@@ -1,6 +1,10 @@
-Feature: CoAP messages are read and built as RFC 7252 says
+Feature: CoAP messages are read and built according to RFC 7252
 
-  Scenario Outline: Which methods may run twice
+  Guards against requests that run twice because their method is taken for
+  idempotent, against malformed bytes that raise an exception, and against refusals
+  that callers can't use or that make them all retry at the same time.
+
+  Scenario Outline: Only idempotent methods may run twice
     Then the method <method> <may> run twice
 
     Examples:
@@ -14,11 +18,11 @@
       | PATCH  | may not |
       | 0.31   | may not |
 
-  Scenario: The short reader agrees with the library's decoder
-    Then header and options of 300 random messages are read as the library does
+  Scenario: The header parser agrees with the library's decoder
+    Then header and options of 300 random messages are read as the library reads them
 
   Scenario: No bytes raise an error
-    Then 300 random payloads are read or told to be bad input
+    Then 300 random payloads are read or reported as bad input
 
   Scenario Outline: A malformed message is bad input
     Then the message "<bytes>" is bad input because "<reason>"
@@ -32,7 +36,7 @@
       | 4201000101             | token    |
       | 40000001ff             | empty    |
 
-  Scenario Outline: A refusal says what happened and when to come back
+  Scenario Outline: A refusal gives the reason and when to retry
     Then a <type> request is refused as <kind> by a <answer> with code <code> that says "<text>"
 
     Examples:
@@ -49,9 +53,9 @@
   Scenario: A request that was acknowledged is refused by a separate message
     Then an acknowledged CON request is refused by a NON
 
-  Scenario: Callers told to come back do not all come back together
-    Then 1000 refusals at a backlog of 10 s spread over at least 8 s
-    And none of them says less than 10 s
+  Scenario: Refused callers do not all retry at the same time
+    Then 1000 refusals at a backlog of 10 s are spread over at least 8 s
+    And none of them asks for less than 10 s
 
-  Scenario: A packet made anew has right lengths and sums
-    Then 100 random payloads in packets have right lengths and sums
+  Scenario: A rewritten packet has correct lengths and checksums
+    Then 100 random payloads in packets have correct lengths and checksums
--- a/tests/features/codec.feature
+++ b/tests/features/codec.feature
@@ -1,6 +1,11 @@
-Feature: Objects are read strictly, and every mistake is told at once
+Feature: Objects are validated strictly, and all mistakes are reported together
 
-  Scenario Outline: A wrong field is named with what is allowed: <kind> <field> = <value>
+  Guards against invalid objects from operators or the platform that are accepted,
+  or that raise an exception instead of a message that names the field, the value
+  found and the allowed values; and against changes that leave references to objects
+  that don't exist, or two objects at one address.
+
+  Scenario Outline: An invalid field is reported with the allowed values: <kind> <field> = <value>
     When a <kind> is read whose <field> is <value>
     Then the mistake names <field>, shows <shown> and says "<allowed>"
 
@@ -45,11 +50,11 @@
       | target  | name          | "other"         | 'other'         | the name of the object           |
       | domain  | state         | "IN"            | 'IN'            | allowed: in, out                 |
 
-  Scenario: All mistakes of an object are listed together, missing fields too
+  Scenario: All mistakes of an object are reported together, including missing fields
     When a service is read from {"port": 0, "protocoll": "udp", "address": "x"}
     Then the mistakes name port, protocoll, address, protocol, profile and no others
 
-  Scenario Outline: A wrong object of the platform is refused: <field> = <value>
+  Scenario Outline: An invalid object from the platform is refused: <field> = <value>
     When an object is read whose <field> is <value> instead
     Then the mistake names <field> and says "<allowed>"
 
@@ -66,35 +71,35 @@
       | deleted   | "no"    | true, false                   |
       | body      | null    | an object with the fields     |
 
-  Scenario Outline: Objects must fit together: <case>
-    Given the standing objects of the demo's file
+  Scenario Outline: Objects must be consistent: <case>
+    Given the objects of the demo's file exist
     When the change to check is <case>
-    Then the check says "<told>"
+    Then the check says "<message>"
 
     Examples:
-      | case                              | told                                                  |
-      | service "new" with profile "web"  | fits                                                  |
-      | service "new" with profile "wep"  | there is no profile of that name; did you mean 'web'? |
-      | target "new" of service "till"    | there is no service of that name; did you mean 'tills'? |
-      | target "new" in domain "north-e"  | there is no domain of that name; did you mean 'north- |
-      | service "new" at tills' address   | already used by service/new                           |
-      | target "new" at t1's place        | already used by target/new                            |
-      | removal of profile "web"          | profile/web cannot be removed: referenced by service/web |
-      | removal of domain "north-d"       | referenced by target/r4, target/t4                    |
-      | removal of target "t1"            | fits                                                  |
+      | case                             | message                                                  |
+      | service "new" with profile "web" | fits                                                     |
+      | service "new" with profile "wep" | there is no profile of that name; did you mean 'web'?    |
+      | target "new" of service "till"   | there is no service of that name; did you mean 'tills'?  |
+      | target "new" in domain "north-e" | there is no domain of that name; did you mean 'north-    |
+      | service "new" at tills' address  | already used by service/new                              |
+      | target "new" at t1's place       | already used by target/new                               |
+      | removal of profile "web"         | profile/web cannot be removed: referenced by service/web |
+      | removal of domain "north-d"      | referenced by target/r4, target/t4                       |
+      | removal of target "t1"           | fits                                                     |
 
-  Scenario: A mistake that stood before does not keep others from being mended
-    Given standing objects of which target "stray" names no known service
-    When profile "new" is checked together with them
+  Scenario: An existing mistake does not prevent unrelated changes
+    Given objects exist of which target "stray" names no known service
+    When profile "new" is checked together with the existing objects
     Then the check says "fits"
 
-  Scenario: Any valid object survives JSON and INI unchanged
-    Then 300 generated objects of every kind come back from JSON and INI as they were
+  Scenario: Any valid object survives a round trip through JSON and INI
+    Then 300 generated objects of every kind are unchanged after a round trip through JSON and INI
 
-  Scenario: No JSON value whatever breaks the reading
+  Scenario: No JSON value raises an exception
     Then 500 generated JSON values are read or refused, never with an exception
 
-  Scenario Outline: The files that come with the project hold valid objects: <file>
+  Scenario Outline: The project's example files hold valid objects: <file>
     Then the file "<file>" is read without a mistake and holds <objects>
 
     Examples:
--- a/tests/features/ctl.feature
+++ b/tests/features/ctl.feature
@@ -1,6 +1,11 @@
-Feature: Operators drive a site with kumquat-ctl
+Feature: Operators control a site with kumquat-ctl
 
-  Scenario Outline: A line that fire would take loosely is refused: <line>
+  Guards against commands that are taken for other commands, files that are applied
+  in part, writes that overwrite another operator's change, and wrong reports about
+  whether a write took effect. These arise from typing errors, invalid files, races
+  between operators, lost answers, stale reads, outages and interrupts.
+
+  Scenario Outline: A command that fire would accept by mistake is refused: <line>
     Given a site with the demo's objects
     When kumquat-ctl runs "<line>"
     Then kumquat-ctl ends with USAGE and the error says "<told>"
@@ -25,7 +30,7 @@
       | domain retire north-a              | Could not consume arg: retire          |
       | --settings                         | --settings: missing value              |
 
-  Scenario Outline: Help and lists are shown: <line>
+  Scenario Outline: Help texts and lists are printed: <line>
     Given a site with the demo's objects
     When kumquat-ctl runs "<line>"
     Then kumquat-ctl ends with SUCCESS and the output says "<told>"
@@ -43,7 +48,7 @@
       | target show t1 --json    | "service": "tills"                          |
       | profile show 1_000       | idle_timeout_s = 600                        |
 
-  Scenario Outline: A name that is unknown has its exit status: <line>
+  Scenario Outline: An unknown name has its own exit status: <line>
     Given a site with the demo's objects
     When kumquat-ctl runs "<line>"
     Then kumquat-ctl ends with <status> and the error says "<told>"
@@ -60,7 +65,7 @@
 
   Scenario Outline: A file with a mistake writes nothing: <mistake>
     Given a site with the demo's objects
-    And a file with a good new profile and then <mistake>
+    And a file with a valid new profile and then <mistake>
     When the operator applies the file
     Then kumquat-ctl ends with USAGE and the error says "<told>"
     And the platform is unchanged
@@ -80,14 +85,14 @@
       | [domain north-a] state in                        | contains parsing errors                    |
       | nonsense                                         | file                                       |
 
-  Scenario: A file that misses a name another object needs writes nothing
+  Scenario: A file that refers to an unknown object writes nothing
     Given a site with the demo's objects
-    And a file with a good new profile and then a target of service "till"
+    And a file with a valid new profile and then a target of service "till"
     When the operator applies the file
     Then kumquat-ctl ends with USAGE and the error says "did you mean 'tills'?"
     And the platform is unchanged
 
-  Scenario: Applying, comparing and a dry run
+  Scenario: Apply, diff and dry run
     Given an empty site
     When kumquat-ctl runs "apply extras/demo/objects.ini --dry-run"
     Then kumquat-ctl ends with SUCCESS and the output says "would be created target/t1"
@@ -97,9 +102,9 @@
     When kumquat-ctl runs "diff extras/demo/objects.ini"
     Then kumquat-ctl ends with SUCCESS and the output says "no differences"
     When kumquat-ctl runs "apply extras/demo/objects.ini"
-    Then kumquat-ctl ends with SUCCESS and the platform stands at version 23
+    Then kumquat-ctl ends with SUCCESS and the platform is at version 23
 
-  Scenario: Applying a file again brings back nothing that operators took out
+  Scenario: Applying a file again does not bring back what operators took out
     Given a site with the demo's objects
     When kumquat-ctl runs "target retire t1"
     And kumquat-ctl runs "domain out north-b"
@@ -109,7 +114,7 @@
     And kumquat-ctl runs "domain in north-b"
     Then target "t1" is admitted and domain "north-b" is in
 
-  Scenario Outline: A change that leaves a service without targets in service is noted: <line>
+  Scenario Outline: A note is printed if a change leaves a service without targets: <line>
     Given a site with the demo's objects
     When bert runs "target retire w1"
     And kumquat-ctl runs "<line>"
@@ -123,9 +128,9 @@
       | domain out north-a             | none                                         |
       | target retire w1               | none                                         |
 
-  Scenario: What show prints can be edited and applied, but not over another's change
+  Scenario: The output of show can be edited and applied, but not over another operator's change
     Given a site with the demo's objects
-    When target "t1" is shown and edited, another sets its slots to 5, and it is applied
+    When target "t1" is shown and edited, another operator sets its slots to 5, and it is applied
     Then kumquat-ctl ends with CONFLICT and the error says "slots: 5 -> 3"
     And target "t1" has 5 slots
     When target "t1" is shown, edited and applied
@@ -136,35 +141,35 @@
     Given a site with the demo's objects
     When anna runs "<anna>" and bert runs "<bert>" in the order <order>
     Then anna ends with <anna's> and bert with <bert's>
-    And "<left>" stands, and the loser is told "<told>"
+    And the result is "<result>", and the refused operator is told "<told>"
 
     Examples: One changes the state, one the slots
-      | anna             | bert                | order   | anna's   | bert's   | left               | told                     |
-      | target retire t1 | set slots of t1 to 5 | a a b b | SUCCESS  | SUCCESS  | t1 retired 5 | - |
-      | target retire t1 | set slots of t1 to 5 | a b a b | SUCCESS  | CONFLICT | t1 retired 2       | state: admitted -> retired |
-      | target retire t1 | set slots of t1 to 5 | a b b a | CONFLICT | SUCCESS  | t1 admitted 5      | slots: 2 -> 5            |
-      | target retire t1 | set slots of t1 to 5 | b a a b | SUCCESS  | CONFLICT | t1 retired 2       | state: admitted -> retired |
-      | target retire t1 | set slots of t1 to 5 | b a b a | CONFLICT | SUCCESS  | t1 admitted 5      | slots: 2 -> 5            |
-      | target retire t1 | set slots of t1 to 5 | b b a a | SUCCESS  | SUCCESS  | t1 retired 5 | - |
+      | anna             | bert                 | order   | anna's   | bert's   | result        | told                       |
+      | target retire t1 | set slots of t1 to 5 | a a b b | SUCCESS  | SUCCESS  | t1 retired 5  | -                          |
+      | target retire t1 | set slots of t1 to 5 | a b a b | SUCCESS  | CONFLICT | t1 retired 2  | state: admitted -> retired |
+      | target retire t1 | set slots of t1 to 5 | a b b a | CONFLICT | SUCCESS  | t1 admitted 5 | slots: 2 -> 5              |
+      | target retire t1 | set slots of t1 to 5 | b a a b | SUCCESS  | CONFLICT | t1 retired 2  | state: admitted -> retired |
+      | target retire t1 | set slots of t1 to 5 | b a b a | CONFLICT | SUCCESS  | t1 admitted 5 | slots: 2 -> 5              |
+      | target retire t1 | set slots of t1 to 5 | b b a a | SUCCESS  | SUCCESS  | t1 retired 5  | -                          |
 
     Examples: One removes what the other changes
-      | anna             | bert                | order   | anna's   | bert's    | left               | told                    |
-      | target remove t1 | target retire t1    | a a b b | SUCCESS  | NOT_FOUND | t1 removed         | does not exist          |
-      | target remove t1 | target retire t1    | a b a b | SUCCESS  | CONFLICT  | t1 removed         | it was removed by another |
-      | target remove t1 | target retire t1    | a b b a | CONFLICT | SUCCESS   | t1 retired 2       | state: admitted -> retired |
-      | target remove t1 | target retire t1    | b a a b | SUCCESS  | CONFLICT  | t1 removed         | it was removed by another |
-      | target remove t1 | target retire t1    | b a b a | CONFLICT | SUCCESS   | t1 retired 2       | state: admitted -> retired |
-      | target remove t1 | target retire t1    | b b a a | SUCCESS  | SUCCESS   | t1 removed | - |
+      | anna             | bert             | order   | anna's   | bert's    | result       | told                       |
+      | target remove t1 | target retire t1 | a a b b | SUCCESS  | NOT_FOUND | t1 removed   | does not exist             |
+      | target remove t1 | target retire t1 | a b a b | SUCCESS  | CONFLICT  | t1 removed   | it was removed by another  |
+      | target remove t1 | target retire t1 | a b b a | CONFLICT | SUCCESS   | t1 retired 2 | state: admitted -> retired |
+      | target remove t1 | target retire t1 | b a a b | SUCCESS  | CONFLICT  | t1 removed   | it was removed by another  |
+      | target remove t1 | target retire t1 | b a b a | CONFLICT | SUCCESS   | t1 retired 2 | state: admitted -> retired |
+      | target remove t1 | target retire t1 | b b a a | SUCCESS  | SUCCESS   | t1 removed   | -                          |
 
     Examples: Both create, or both remove
-      | anna             | bert                 | order   | anna's   | bert's    | left               | told                      |
-      | create t50 with 3 | create t50 with 4   | a b a b | SUCCESS  | CONFLICT  | t50 admitted 3     | slots = 3                 |
-      | create t50 with 3 | create t50 with 4   | a b b a | CONFLICT | SUCCESS   | t50 admitted 4     | slots = 4                 |
-      | create t50 with 3 | create t50 with 4   | a a b b | SUCCESS  | SUCCESS   | t50 admitted 4 | - |
-      | target remove t1 | target remove t1     | a b a b | SUCCESS  | CONFLICT  | t1 removed         | it was removed by another |
-      | target remove t1 | target remove t1     | a b b a | CONFLICT | SUCCESS   | t1 removed         | it was removed by another |
-
-  Scenario Outline: After a lost answer the operator knows: <fault> on <line>
+      | anna              | bert              | order   | anna's   | bert's   | result         | told                      |
+      | create t50 with 3 | create t50 with 4 | a b a b | SUCCESS  | CONFLICT | t50 admitted 3 | slots = 3                 |
+      | create t50 with 3 | create t50 with 4 | a b b a | CONFLICT | SUCCESS  | t50 admitted 4 | slots = 4                 |
+      | create t50 with 3 | create t50 with 4 | a a b b | SUCCESS  | SUCCESS  | t50 admitted 4 | -                         |
+      | target remove t1  | target remove t1  | a b a b | SUCCESS  | CONFLICT | t1 removed     | it was removed by another |
+      | target remove t1  | target remove t1  | a b b a | CONFLICT | SUCCESS  | t1 removed     | it was removed by another |
+
+  Scenario Outline: After a lost answer the outcome is reported: <fault> on <line>
     Given a site with the demo's objects
     And the platform has the fault <fault>
     When kumquat-ctl runs "<line>"
@@ -197,13 +202,13 @@
       | target retire t1   | target remove t1    | state: admitted -> retired |
       | target remove t1   | target retire t1    | it was removed by another  |
 
-  Scenario: An order that stands already is confirmed by a write
+  Scenario: A change that is already in force is confirmed by a write
     Given a site with the demo's objects
     When kumquat-ctl runs "domain in north-b"
     Then kumquat-ctl ends with SUCCESS and one write took effect
     And the output says "confirmed domain/north-b"
 
-  Scenario Outline: Another's change right after a lost answer is told apart: <effect>
+  Scenario Outline: A lost write is distinguished from another operator's change: <effect>
     Given a site with the demo's objects
     When anna's write of t1 loses its answer <effect> taking effect and bert retires t1
     Then kumquat-ctl ends with CONFLICT and the error says "<told>"
@@ -214,13 +219,13 @@
       | after  | your write took effect before it, as  | 5     |
       | before | your write did not take effect        | 2     |
 
-  Scenario: An outage right after the write leaves the outcome unknown, with the way to tell
+  Scenario: After an outage during a write, the error says how to check the outcome
     Given a site with the demo's objects
-    When anna's write of t1 loses its answer and the platform goes out
+    When anna's write of t1 loses its answer and an outage of the platform begins
     Then kumquat-ctl ends with ERROR and the error says "whether the write took effect is unknown"
-    And the error names the operation that the platform holds
+    And the error names the operation that the platform has recorded
 
-  Scenario Outline: Nothing is done while the platform is out: <line>
+  Scenario Outline: Nothing is written during an outage of the platform: <line>
     Given a site with the demo's objects
     And the platform has the fault {"outage": true}
     When kumquat-ctl runs "<line>"
@@ -234,15 +239,15 @@
       | service list                  |
       | status                        |
 
-  Scenario: A failure midway says which objects were written and which were not
+  Scenario: After a failure midway the error lists the written and the unwritten objects
     Given an empty site
-    When the platform goes out after 5 writes of "apply extras/demo/objects.ini"
-    Then the error names 5 written objects, 1 perhaps and 17 not
+    When an outage of the platform begins after 5 writes of "apply extras/demo/objects.ini"
+    Then the error names 5 written objects, 1 uncertain and 17 unwritten
     And kumquat-ctl ends with ERROR
-    When the platform is back and kumquat-ctl runs "apply extras/demo/objects.ini"
+    When the outage ends and kumquat-ctl runs "apply extras/demo/objects.ini"
     Then kumquat-ctl ends with SUCCESS and the platform holds 23 objects
 
-  Scenario Outline: Waiting ends when all entries in reach have it in force: <entries>
+  Scenario Outline: Waiting ends when the change is in force at all reachable entries: <entries>
     Given a site with the demo's objects and the entries <entries>
     When kumquat-ctl runs "target retire t1 --wait <limit>"
     Then kumquat-ctl ends with <status> and the output says "<told>"
@@ -256,12 +261,12 @@
       | down, down                   | 5     | UNAVAILABLE | no entry is reachable                     |
       | follows, silent              | 0.6   | SUCCESS     | out of reach: e2                          |
 
-  Scenario: Waiting for what stands already
+  Scenario: Waiting for a change that is already in force
     Given a site with the demo's objects and the entries follows, follows
     When kumquat-ctl runs "wait 5"
     Then kumquat-ctl ends with SUCCESS and the output says "in force at 2 entries"
 
-  Scenario: The status shows domains, entries, targets, shares and what is late
+  Scenario: The status shows domains, entries, targets, shares and entries that are late
     Given a site with the demo's objects and the entries follows, stuck, down
     When kumquat-ctl runs "target retire t1"
     And kumquat-ctl runs "status"
@@ -274,30 +279,30 @@
     When kumquat-ctl runs "status --json"
     Then the JSON of the status has 4 domains, 3 entries, 13 targets and 1 late version
 
-  Scenario: The state of an entry is dumped as it gives it
+  Scenario: The state of an entry is printed as the entry returns it
     Given a site with the demo's objects and the entries follows, follows
     When kumquat-ctl runs "dump e1"
     Then kumquat-ctl ends with SUCCESS and the output says ""incarnation": 1"
 
-  Scenario Outline: Entries that ask for certificates are reached with one of the site: <own>
-    Given a site with the demo's objects and an entry that asks for certificates
+  Scenario Outline: Entries that require client certificates accept those of the site: <own>
+    Given a site with the demo's objects and an entry that requires client certificates
     When kumquat-ctl with <own> runs "dump e1"
     Then kumquat-ctl ends with <status>
 
     Examples:
-      | own                       | status      |
-      | a certificate of the site | SUCCESS     |
-      | a stranger's certificate  | UNAVAILABLE |
-      | an expired certificate    | BAD_SETTINGS |
-      | no certificate            | UNAVAILABLE |
+      | own                                | status       |
+      | a certificate of the site          | SUCCESS      |
+      | a certificate of another authority | UNAVAILABLE  |
+      | an expired certificate             | BAD_SETTINGS |
+      | no certificate                     | UNAVAILABLE  |
 
-  Scenario: With the platform out, entries that the settings name are asked
+  Scenario: During an outage of the platform, the entries in the settings are queried
     Given a site with the demo's objects and the entries follows, follows
     And the platform has the fault {"outage": true}
     When kumquat-ctl runs "status"
     Then kumquat-ctl ends with UNAVAILABLE and the output says "127.11.1.1"
 
-  Scenario Outline: Wrong settings are listed with what is allowed: <line>
+  Scenario Outline: Invalid settings are reported with the allowed values: <line>
     Given an empty site
     When kumquat-ctl runs "domain list" with the settings <line>
     Then kumquat-ctl ends with BAD_SETTINGS and the error says "<told>"
@@ -310,7 +315,7 @@
       | [peers] e1 = north-a                | allowed: DOMAIN ADDRESS                |
       | [platfrom] url = http://10.0.0.1    | did you mean [platform]?               |
 
-  Scenario Outline: The settings are checked alone: <line>
+  Scenario Outline: The check command only checks the settings: <line>
     Given an empty site
     When kumquat-ctl checks the settings <line>
     Then kumquat-ctl ends with <status>
@@ -320,8 +325,8 @@
       | [platform] url = http://10.0.0.1 | SUCCESS      |
       | [platform] ulr = http://10.0.0.1 | BAD_SETTINGS |
 
-  Scenario Outline: Without good settings nothing is tried: <line>
-    When kumquat-ctl alone runs "<line>"
+  Scenario Outline: With invalid settings no command runs: <line>
+    When kumquat-ctl without a site runs "<line>"
     Then kumquat-ctl ends with BAD_SETTINGS and the error says "<told>"
 
     Examples:
@@ -330,10 +335,10 @@
       | --platform 10.0.0.1 domain list     | --platform: found '10.0.0.1' |
       | --settings no/such/file domain list | no/such/file: file: found    |
 
-  Scenario Outline: The program tells the shell its exit status: <line>
+  Scenario Outline: The program returns its exit status to the shell: <line>
     Given a site with the demo's objects
-    When the program is run by itself as "<line>"
-    Then it ends with <status>
+    When the program is run as a process with "<line>"
+    Then the program exits with <status>
 
     Examples:
       | line             | status |
@@ -342,20 +347,20 @@
       | target show t99  | 4      |
       | --platform http://127.11.0.1:1 domain list | 6 |
 
-  Scenario: An interrupt lets the write in hand end, and says what was written
+  Scenario: On an interrupt the current write completes, and the written objects are listed
     Given an empty site
     And the platform has the fault {"latency_s": 0.2}
     When the program is interrupted while it applies the demo's objects
-    Then it ends with 130 and names as written just what the platform holds
+    Then the program exits with 130 and lists exactly the objects that the platform holds
 
   Scenario: An interrupt ends a wait
     Given a site with the demo's objects and the entries follows, stuck
     When the program is interrupted while it waits for 60 s
-    Then it ends with 130
+    Then the program exits with 130
     And the output says "not in force: e2 holds version"
 
-  Scenario: Every command of the operators' page is one that the client takes
-    Then each command of docs/OPERATORS.md is understood
+  Scenario: Every command in the operators' documentation is valid
+    Then each command of docs/OPERATORS.md is parsed
 
-  Scenario: The operators' page lists every exit status
+  Scenario: The operators' documentation lists every exit status
     Then docs/OPERATORS.md lists each exit status with its number
--- a/tests/features/domains.feature
+++ b/tests/features/domains.feature
@@ -1,39 +1,42 @@
 Feature: A failure domain taken out gets no packets, and the rest go on
 
-  The bound on "a few seconds" is 3 s.
+  Guards against packets that still reach a domain after operators took it out,
+  and against flows of other domains that break when the ring changes, when the
+  order reaches entries late, twice or out of order, or while entries can't reach
+  their peers or the platform. An order has to be in force within 3 s.
 
-  Scenario Outline: Out: no packet from 3 s on, and no flow of another domain breaks
-    Given domains with 400 flows, <network>
+  Scenario Outline: Taken out: no packet from 3 s on, and no flow of another domain breaks
+    Given domains with 400 open flows, <network>
     When domains <out> are taken out, and the order <order>
-    Then domains out get no packet from 3 s on, for 60 s
-    And domains in have no broken flow
+    Then the domains taken out receive no packet from 3 s on, for 60 s
+    And the other domains have no broken flow
 
     Examples:
-      | out   | order                            | network         |
-      | a     | reaches all readers at once      | a quiet network |
-      | a     | reaches readers up to 2 s late   | a quiet network |
-      | c     | reaches its peers through one    | a quiet network |
-      | b     | reaches readers twice, reordered | lost packets    |
-      | a, c  | reaches all readers at once      | a quiet network |
-      | b, d  | reaches readers up to 2 s late   | lost packets    |
+      | out  | order                                          | network                |
+      | a    | reaches all watching entries at once           | a network without loss |
+      | a    | reaches watching entries up to 2 s late        | a network without loss |
+      | c    | reaches one watching entry, outside the domain | a network without loss |
+      | b    | reaches watching entries twice, reordered      | lost packets           |
+      | a, c | reaches all watching entries at once           | a network without loss |
+      | b, d | reaches watching entries up to 2 s late        | lost packets           |
 
-  Scenario: Out: the naive version moves flows of the other domains
-    Given domains with 400 flows, with the naive version
-    When domains a are taken out, and the order reaches all readers at once
-    Then domains out do get packets from 3 s on, or flows break
+  Scenario: Taken out: the naive load balancer moves flows of other domains
+    Given domains with 400 open flows, with the naive load balancer
+    When domains a are taken out, and the order reaches all watching entries at once
+    Then the domains taken out receive packets from 3 s on, or flows break
 
-  Scenario: Out while one of its entries leaves: packets are not looked up there
-    Given domains with 400 flows, a quiet network
-    When a domains entry of a leaves, and a is taken out
-    And domains see 300 new flows
-    Then domains out get no packet from 3 s on, for 60 s
-    And domains in have no broken flow
+  Scenario: Taken out while one of its entries leaves: packets are not relayed there
+    Given domains with 400 open flows, a network without loss
+    When an entry of domain a leaves, and a is taken out
+    And callers open 300 new flows
+    Then the domains taken out receive no packet from 3 s on, for 60 s
+    And the other domains have no broken flow
 
-  Scenario Outline: Out and in again in quick turn: the last order stands
-    Given domains with 400 flows, a quiet network
-    When domains a are taken out and back <turns> times, <gap> s apart, ending <end>
-    Then domains all agree within 3 s that a is <end>
-    And domains in have no broken flow
+  Scenario Outline: Taken out and back in quick succession: the last order is in force
+    Given domains with 400 open flows, a network without loss
+    When domain a is taken out and back <turns> times, <gap> s apart, ending <end>
+    Then all entries agree within 3 s that domain a is <end>
+    And the other domains have no broken flow
 
     Examples:
       | turns | gap | end |
@@ -42,22 +45,22 @@
       | 2     | 4   | out |
       | 2     | 4   | in  |
 
-  Scenario: Back: it starts cold, and has its share again within 60 s
-    Given domains with 400 flows, a quiet network
-    When domains a are taken out, and the order reaches all readers at once
-    And domains a are brought back after 30 s
-    Then domains a take less than half a share of new flows in the first 5 s
-    And domains a take a full share of new flows 60 s later
-    And domains in have no broken flow
+  Scenario: Brought back: the domain warms up, and has its full share within 60 s
+    Given domains with 400 open flows, a network without loss
+    When domains a are taken out, and the order reaches all watching entries at once
+    And domain a is brought back after 30 s
+    Then domain a gets less than half its share of new flows in the first 5 s
+    And domain a gets a full share of new flows 60 s later
+    And the other domains have no broken flow
 
-  Scenario Outline: Cut off: each side serves its own, and agrees after healing
-    Given domains with 200 flows, a quiet network
+  Scenario Outline: Cut off: both sides serve new flows, and agree after the partition heals
+    Given domains with 200 open flows, a network without loss
     When domain a is cut off from <what> for 30 s
-    And domains see 150 new <kind> flows on each side of the cut
-    And domains get an order to take d out during the cut
-    Then domains serve the new flows on both sides
-    And domains after healing all agree within 3 s
-    And domains break no flow that was opened during the cut
+    And callers open 150 new <kind> flows on each side of the cut
+    And the platform orders to take domain d out during the cut
+    Then the new flows are served on both sides
+    And all entries agree within 3 s after the partition heals
+    And no flow that was opened during the cut breaks
 
     Examples:
       | what                   | kind |
@@ -67,10 +70,10 @@
       | the platform and peers | TCP  |
 
   Scenario: Cut off: datagram flows opened meanwhile survive the healing
-    Given domains with 200 flows, a quiet network
+    Given domains with 200 open flows, a network without loss
     When domain a is cut off from its peers for 30 s
-    And domains see 150 new UDP flows on each side of the cut
-    And domains get an order to take d out during the cut
-    Then domains serve the new flows on both sides
-    And domains after healing all agree within 3 s
-    And domains break no flow that was opened during the cut
+    And callers open 150 new UDP flows on each side of the cut
+    And the platform orders to take domain d out during the cut
+    Then the new flows are served on both sides
+    And all entries agree within 3 s after the partition heals
+    And no flow that was opened during the cut breaks
--- a/tests/features/entry.feature
+++ b/tests/features/entry.feature
@@ -1,10 +1,14 @@
-Feature: kumquat-entry starts and ends as an operator expects
+Feature: kumquat-entry starts, exits and drops bad datagrams as an operator expects
 
-  Scenario Outline: A port that is taken is told, and nothing is left running
+  Guards against an entry that keeps running after a failed start, ignores SIGTERM or
+  starts with invalid settings, and against a flood of bad datagrams that fills the
+  log or goes uncounted.
+
+  Scenario Outline: An occupied port is reported, and the entry exits
     Given an entry's settings at 127.15.0.<host>
     And port <port> of 127.15.0.<host> is taken over <protocol>
     When the entry is started
-    Then the entry ends with status 6 and tells "Cannot start"
+    Then the entry exits with status 6 and logs "Cannot start"
 
     Examples:
       | host | port | protocol |
@@ -13,24 +17,24 @@
       | 3    | 6080 | UDP      |
       | 4    | 7100 | UDP      |
 
-  Scenario: SIGTERM ends an entry well
+  Scenario: An entry shuts down gracefully on SIGTERM
     Given an entry's settings at 127.15.0.5
     When the entry is started
-    And the entry is told to end once its admin port answers
-    Then the entry ends with status 0 and tells "has handed over; exiting"
+    And the entry receives SIGTERM once its admin port answers
+    Then the entry exits with status 0 and logs "has handed over; exiting"
 
-  Scenario: Settings with a mistake start nothing
+  Scenario: An entry with invalid settings does not start
     Given an entry's settings at 127.15.0.6
-    And the entry's settings say "admin_port = 73000"
+    And the entry's settings contain "admin_port = 73000"
     When the entry is started
-    Then the entry ends with status 3 and tells "admin_port"
+    Then the entry exits with status 3 and logs "admin_port"
 
-  Scenario Outline: Bad datagrams are dropped, counted by reason, and hardly logged
-    Given an entry with a digest key, set up at 127.15.0.<host>
+  Scenario Outline: Bad datagrams are dropped, counted by reason, and logged sparingly
+    Given an entry's settings with a digest key at 127.15.0.<host>
     When the entry is started
-    And 100 datagrams of <kind> come to port <port> from 127.15.0.<source>
+    And 100 datagrams of <kind> arrive at port <port> from 127.15.0.<source>
     Then the entry counts 100 drops for "<reason>"
-    And the entry ends with status 0 on SIGTERM, with at most 10 lines
+    And the entry exits with status 0 on SIGTERM, after logging at most 10 lines
 
     Examples:
       | host | kind               | port | source | reason          |
--- a/tests/features/envelope.feature
+++ b/tests/features/envelope.feature
@@ -1,7 +1,10 @@
-Feature: Messages between entries survive the wire, and nothing else is read
+Feature: Messages between entries survive encoding, and anything else is refused
 
-  Scenario Outline: Any <message> comes back as it was sent
-    Then 300 generated messages of kind <message> come back with their sender
+  Guards against fields that are lost or changed by encoding, and against bytes from
+  the network that raise an unexpected exception or are read as a valid message.
+
+  Scenario Outline: Any <message> is decoded as it was encoded
+    Then 300 generated messages of kind <message> are decoded with their sender
 
     Examples:
       | message     |
@@ -9,17 +12,17 @@
       | RecordBatch |
       | Heartbeat   |
 
-  Scenario Outline: Bytes that are no envelope are refused with one error: <bytes>
-    Then 1000 envelopes made of <bytes> are read or refused as malformed
+  Scenario Outline: Malformed bytes are read or refused with MalformedEnvelopeError: <bytes>
+    Then 1000 envelopes consisting of <bytes> are read or refused as malformed
 
     Examples:
-      | bytes                    |
-      | random bytes             |
-      | messages cut short       |
-      | messages with flipped bits |
-      | messages of later fields |
+      | bytes                        |
+      | random bytes                 |
+      | truncated messages           |
+      | messages with flipped bits   |
+      | messages with unknown fields |
 
-  Scenario Outline: What no entry says is refused: <envelope>
+  Scenario Outline: Envelopes that no entry sends are refused: <envelope>
     Then the envelope of <envelope> is refused as malformed
 
     Examples:
--- a/tests/features/errors.feature
+++ b/tests/features/errors.feature
@@ -1,4 +1,6 @@
-Feature: Errors are a closed list with one answer each
+Feature: Every kind of error maps to exactly one response code
 
-  Scenario: Every kind of error has its answer
-    Then every error kind has exactly one answer
+  Guards against an error kind that is added without a response code.
+
+  Scenario: Every kind of error has its response code
+    Then every error kind has exactly one response code
--- a/tests/features/fabric.feature
+++ b/tests/features/fabric.feature
@@ -1,12 +1,17 @@
-Feature: The fabric stand-in hands any packet to any ready entry
+Feature: The simulated fabric sends any packet to any ready entry
 
-  Scenario: Packets carry what callers send, and no damage goes unseen
-    Then any datagram and any segment survive packing, and one wrong bit is seen
+  Guards against a simulation that is easier on entries than the real fabric: damaged
+  packets that pass unnoticed, packets to entries that are not ready, an uneven
+  spread, and faults (loss, duplicates, reordering) that don't happen. Real CoAP and
+  HTTP clients and servers must work through it while entries fail.
+
+  Scenario: Packets survive packing, and damage is detected
+    Then any datagram and any segment survive packing, and one flipped bit is detected
 
   Scenario Outline: An entry that answers <answers> is <state>
-    Given a fabric that asks one entry
+    Given a fabric that checks the readiness of one entry
     When the entry's answers are <answers>
-    Then the fabric finds the entry <state>
+    Then the fabric takes the entry to be <state>
 
     Examples:
       | answers             | state     |
@@ -20,15 +25,15 @@
       | 200 miss miss 200   | ready     |
       | 200 hang hang       | ready     |
 
-  Scenario: Packets are spread over the ready entries alone
-    Given a spray over 4 entries of which 3 are ready
-    When 3000 packets pass the spray
-    Then each ready entry got 900 to 1100 packets and the other got none
+  Scenario: Packets are spread over the ready entries only
+    Given a packet sprayer over 4 entries of which 3 are ready
+    When 3000 packets pass the sprayer
+    Then each ready entry received 900 to 1100 packets and the other got none
     And the same seed spreads the packets in the same way
 
-  Scenario Outline: The spray with <fault> at 1 sends <copies> copies <when>
-    Given a spray whose <fault> is certain
-    When one packet passes the spray
+  Scenario Outline: The sprayer with <fault> at probability 1 sends <copies> copies <when>
+    Given a packet sprayer whose <fault> is certain
+    When one packet passes the sprayer
     Then <copies> copies are sent <when>
 
     Examples:
@@ -38,10 +43,10 @@
       | reorder   | 1      | later  |
 
   Scenario: No entry is ready
-    Given a spray over 2 entries of which 0 are ready
-    When one packet passes the spray
+    Given a packet sprayer over 2 entries of which 0 are ready
+    When one packet passes the sprayer
     Then 0 copies are sent at all
-    And the spray counts 1 packet without a ready entry
+    And the sprayer counts 1 packet without a ready entry
 
   Scenario Outline: A packet from an entry that is <packet> is counted as <reason>
     Given a small site with 2 entries
@@ -55,28 +60,28 @@
       | not of a service | unknown-service      |
       | a stray segment  | segments-of-no-stream |
 
-  Scenario: Requests reach a real server and each gets its own answer
-    Given a small site with 3 entries whose fabric doubles and reorders packets
+  Scenario: Requests reach a real server, and each gets its own answer
+    Given a small site with 3 entries whose fabric duplicates and reorders packets
     When 30 callers send one request each at once
-    Then each caller got the answer to its own request
+    Then each caller received the answer to its own request
     And no request was run twice
 
-  Scenario: A long answer comes block by block
+  Scenario: A long answer arrives block by block
     Given a small site with 3 entries
     When a caller asks for 20000 bytes
-    Then the caller got all 20000 bytes of its own
+    Then the caller received all 20000 bytes of its own answer
 
-  Scenario: A watch is notified while entries come and go
+  Scenario: A watch keeps its notifications while entries fail and restart
     Given a small site with 2 entries
-    When a caller watches, and an entry dies and comes back meanwhile
+    When an entry is killed and restarted while a caller watches a resource
     Then the watch is still notified by the same target
 
-  Scenario: An ordinary HTTP client reaches an ordinary HTTP server
-    Given a small site with 3 entries whose fabric loses, doubles and reorders packets
+  Scenario: A standard HTTP client reaches a standard HTTP server
+    Given a small site with 3 entries whose fabric loses, duplicates and reorders packets
     When an HTTP caller asks for 200000 bytes and posts once
-    Then the HTTP caller got all of it and its post ran once
+    Then the HTTP caller received the whole answer and its post ran once
 
-  Scenario: An HTTP connection outlives an entry
+  Scenario: An HTTP connection survives the failure of an entry
     Given a small site with 2 entries
-    When an HTTP caller asks on one connection, and an entry dies in between
+    When an HTTP caller asks on one connection, and an entry is killed in between
     Then both answers came from the same target over the same connection
--- a/tests/features/steps/admin_steps.py
+++ b/tests/features/steps/admin_steps.py
@@ -26,52 +26,52 @@
     context.admin_port = port.getHost().port
 
 
-@when('the admin page "{path}" is asked for with {method}')
+@when('the admin page "{path}" is requested with {method}')
 def step_ask(context, path, method):
     url = f"http://{ADDRESS}:{context.admin_port}{path}"
     try:
-        answer = result_of(treq.request(method, url, persistent=False))
-        context.admin_status = answer.code
-        context.admin_text = result_of(answer.text())
+        response = result_of(treq.request(method, url, persistent=False))
+        context.admin_status = response.code
+        context.admin_text = result_of(response.text())
     except ResponseFailed:
         context.admin_text = None
 
 
-@then('the admin answer is {status:d} with "{told}"')
-def step_answer(context, status, told):
+@then('the admin response is {status:d} with "{text}"')
+def step_answer(context, status, text):
     assert context.admin_status == status, context.admin_status
-    assert told in context.admin_text, context.admin_text
+    assert text in context.admin_text, context.admin_text
 
 
-@then('the admin answer is {status:d} with ""')
+@then('the admin response is {status:d} with ""')
 def step_answer_any(context, status):
     assert context.admin_status == status, context.admin_status
 
 
-@then('the admin answer does not have "{text}"')
+@then('the admin response does not contain "{text}"')
 def step_answer_without(context, text):
     assert text not in context.admin_text, context.admin_text
 
 
-@then("the admin answer is the dump as JSON")
+@then("the admin response is the dump as JSON")
 def step_answer_json(context):
     dump = json.loads(context.admin_text)
     assert dump == FakeSource("large").dump()
 
 
-@then("no piece of it was larger than {count:d} bytes")
-def step_pieces(context, count):
-    pieces = list(json_chunks(FakeSource("large").dump()))
-    assert "".join(pieces) == context.admin_text
-    assert max(map(len, pieces)) <= count, max(map(len, pieces))
+@then("no chunk of it was larger than {count:d} bytes")
+def step_chunks(context, count):
+    chunks = list(json_chunks(FakeSource("large").dump()))
+    assert "".join(chunks) == context.admin_text
+    assert max(map(len, chunks)) <= count, max(map(len, chunks))
 
 
-@then("the admin answer breaks off")
+@then("the admin response breaks off")
 def step_breaks(context):
     assert context.admin_text is None, context.admin_text[-200:]
 
 
-class LeavingReader(Protocol):
+class DisconnectingReader(Protocol):
     def connectionMade(self):  # noqa: N802
         self.transport.write(b"GET /dump HTTP/1.1\r\nHost: admin\r\n\r\n")
 
@@ -79,15 +79,15 @@
         self.transport.abortConnection()
 
     def connectionLost(self, reason):  # noqa: N802
-        self.factory.left = True
+        self.factory.disconnected = True
 
 
-@when('a reader of the admin page "/dump" leaves in the middle')
-def step_leave(context):
-    factory = ClientFactory.forProtocol(LeavingReader)
-    factory.left = False
+@when('a reader of the admin page "/dump" disconnects early')
+def step_disconnect(context):
+    factory = ClientFactory.forProtocol(DisconnectingReader)
+    factory.disconnected = False
     use_reactor(context).connectTCP(ADDRESS, context.admin_port, factory)
-    wait_until(lambda: factory.left)
+    wait_until(lambda: factory.disconnected)
 
 
 @then("the admin port has logged nothing")
@@ -96,7 +96,7 @@
 
 
 @then("a second admin port at its address is refused")
-def step_taken(context):
+def step_port_refused(context):
     try:
         reactor = use_reactor(context)
         listen_admin(reactor, ADDRESS, context.admin_port, FakeSource("ready"))
--- a/tests/features/steps/allowance_steps.py
+++ b/tests/features/steps/allowance_steps.py
@@ -9,7 +9,7 @@
 from kumquatshift.measures.requests import SCHEME, gap, share_after_gap
 
 NOW = 100.0
-SILENT_TURNS = 3
+UNNOTICED_TURNS = 3
 
 
 def make_pool(context, hosts, services=("s",), slots=2, state=TargetState.ADMITTED):
@@ -20,11 +20,11 @@
         for service in services
     ]
     context.pool = SlotPool.from_config(context.profiles, context.targets, NOW)
-    context.now, context.numbers, context.verdicts = NOW, count(), []
+    context.now, context.claim_numbers, context.verdicts = NOW, count(), []
 
 
 def claim(context, service="s", pinned=""):
-    claim_id = b"%d" % next(context.numbers)
+    claim_id = b"%d" % next(context.claim_numbers)
     wanted = Claim(claim_id, service, Priority.NORMAL, context.now + 1000, pinned)
     return context.pool.claim(wanted, context.now)
 
@@ -37,24 +37,24 @@
 def step_pool(context, hosts, state, slots):
     make_pool(context, hosts, slots=slots)
     if state == "warm":
-        for allowance in context.pool.hosts.values():
-            allowance.limit = allowance.ceiling
-            allowance.latency_s = allowance.baseline_s = 0.1
+        for limiter in context.pool.hosts.values():
+            limiter.limit = limiter.ceiling
+            limiter.latency_s = limiter.baseline_s = 0.1
 
 
 @given("a slot pool of {hosts:d} hosts that serve {services:d} services")
 def step_shared_hosts(context, hosts, services):
     make_pool(context, hosts, [f"s{i}" for i in range(services)])
-    for allowance in context.pool.hosts.values():
-        allowance.limit = allowance.ceiling
+    for limiter in context.pool.hosts.values():
+        limiter.limit = limiter.ceiling
 
 
-@when("{number:d} claims come")
+@when("{number:d} claims arrive")
 def step_claims(context, number):
     context.verdicts += [claim(context) for _ in range(number)]
 
 
-@when("{number:d} claims of each service come")
+@when("{number:d} claims of each service arrive")
 def step_claims_of_each(context, number):
     for service in context.profiles:
         context.verdicts += [claim(context, service) for _ in range(number)]
@@ -67,7 +67,7 @@
     assert sum(isinstance(each, Waiting) for each in context.verdicts) == others
 
 
-@then("{number:d} are granted in all")
+@then("{number:d} are granted in total")
 def step_granted_all(context, number):
     assert len(granted(context)) == number, context.verdicts
 
@@ -82,8 +82,8 @@
 
 
 def answer_one(context, outcome, rest):
-    allowance = context.pool.hosts["h0"]
-    context.now = max(context.now, allowance.paused_until) + 0.001
+    limiter = context.pool.hosts["h0"]
+    context.now = max(context.now, limiter.paused_until) + 0.001
     verdict = claim(context, pinned="s0")
     assert isinstance(verdict, Granted), verdict
     if "while" in rest or "after" in rest:
@@ -95,25 +95,25 @@
 
 
 @when("{seconds:g} s pass without an answer")
-def step_silence(context, seconds):
+def step_no_answer(context, seconds):
     context.now += seconds
     context.later = context.pool.tick(context.now)
 
 
-@then("{number:d} are granted of those that waited, one for each target")
+@then("{number:d} of the waiting claims are granted, one for each target")
 def step_granted_later(context, number):
     assert len({each.target for each in context.later}) == number, context.later
     assert len(context.later) == number, context.later
 
 
-@then("its allowance is {limit:d}")
-def step_allowance(context, limit):
-    allowance = context.pool.hosts["h0"]
-    assert int(allowance.limit) == limit, allowance
+@then("its concurrency limit is {limit:d}")
+def step_limit(context, limit):
+    limiter = context.pool.hosts["h0"]
+    assert int(limiter.limit) == limit, limiter
 
 
-@then("it gets nothing for {seconds:g} s, and then one request")
-def step_rests(context, seconds):
+@then("it gets no request for {seconds:g} s, and then one request")
+def step_paused(context, seconds):
     context.now += seconds - 0.01
     assert not isinstance(claim(context, pinned="s0"), Granted)
     context.now += 0.02
@@ -147,12 +147,12 @@
     context.pool.configure(context.profiles, [retired, *others], context.now)
 
 
-@when('the domain "{domain}" is out of reach')
-def step_out_of_reach(context, domain):
+@when('the domain "{domain}" is unreachable')
+def step_unreachable(context, domain):
     context.pool.unreachable_domains = frozenset({domain})
 
 
-@then("the retired target has only what it had")
+@then("the retired target has no more requests than before")
 def step_retired(context):
     after = sum(each.target == "s0" for each in granted(context))
     assert after == context.before == context.pool.hosts["h0"].used
@@ -165,15 +165,18 @@
 
 
 @then(
-    "with seed {seed:d} a target that turns cold unseen is overloaded "
+    "with seed {seed:d} a target that turns cold unnoticed is overloaded "
     "at most twice a turn"
 )
-def step_silent(context, seed):
+def step_unnoticed(context, seed):
     target = allowances.with_silent_turn(SCHEME, seed).targets["h1"]
-    assert target.cold_overloads <= 2 * SILENT_TURNS and target.falls == 0
+    assert target.cold_overloads <= 2 * UNNOTICED_TURNS and target.falls == 0
 
 
-@then("with seed {seed:d} work is at most {times:g} times the mean at 70% load")
+@then(
+    "with seed {seed:d} the busiest target has at most {times:g} times the mean work"
+    " at 70% load"
+)
 def step_imbalance(context, seed, times):
     model = allowances.offered(SCHEME, 0.7, seed=seed)
     assert allowances.imbalance(model) <= times, allowances.imbalance(model)
--- a/tests/features/steps/answers_steps.py
+++ b/tests/features/steps/answers_steps.py
@@ -53,27 +53,27 @@
     ]
 
 
-@when("two answers come crossed")
-def step_crossed(context):
+@when("two answers arrive in reverse order")
+def step_reversed(context):
     one, two = send(context), send(context, mid=2, token=b"\x22")
     answer(context, two, b"second")
     answer(context, one, b"first")
 
 
-@when("an answer comes twice")
+@when("an answer arrives twice")
 def step_twice(context):
     one = send(context)
     answer(context, one, b"first")
     answer(context, one, b"first")
 
 
-@when("a retransmission comes after the answer")
+@when("a retransmission arrives after the answer")
 def step_retransmission(context):
     answer(context, send(context, Code.POST), b"first")
     assert send(context, Code.POST) is None
 
 
-@when("an answer comes after the refusal")
+@when("an answer arrives after the refusal")
 def step_after_refusal(context):
     one = send(context, Code.POST)
     keep(context, context.single.tick(11.0))
@@ -81,21 +81,21 @@
     answer(context, one, b"first")
 
 
-@when("an answer comes after its token was used again")
+@when("an answer arrives after its token was reused")
 def step_token_again(context):
     one, two = send(context), send(context, mid=2)
     answer(context, one, b"first", kind=Type.CON, mid=70)
     answer(context, two, b"second", kind=Type.CON, mid=70)
 
 
-@when("an answer of the first target comes after a retry")
+@when("an answer of the first target arrives after a retry")
 def step_after_retry(context):
     one, two = retry(context)
     answer(context, one, b"first")
     answer(context, two, b"second")
 
 
-@when("a separate answer of the first target follows a retry")
+@when("a separate response of the first target arrives after a retry")
 def step_separate_after_retry(context):
     one, two = retry(context)
     answer(context, two, b"second")
@@ -110,7 +110,7 @@
     return one, decisions[0].data
 
 
-@when("an answer comes after its message id was used again")
+@when("an answer arrives after its message id was reused")
 def step_mid_again(context):
     one, two = send(context), send(context, token=b"\x22", payload=b"other")
     answer(context, two, b"second")
@@ -122,7 +122,7 @@
     ]
 
 
-@when("an answer comes after its port and token were reused")
+@when("an answer arrives after its port and token were reused")
 def step_port_again(context):
     one, two = send(context, Code.POST), send(context, Code.POST, payload=b"other")
     assert read(one).token != read(two).token
@@ -130,14 +130,14 @@
     answer(context, two, b"second")
 
 
-@when("an answer comes from no exchange")
-def step_stranger(context):
+@when("an answer of an unknown exchange arrives")
+def step_unknown_exchange(context):
     data = request(Code.GET, 1, b"\x99")
     answer(context, data, b"first")
 
 
-@then("the caller sees only {answers}")
-def step_sees(context, answers):
+@then("the caller receives only {answers}")
+def step_receives(context, answers):
     expected = [] if answers == "nothing" else answers.split(", ")
     seen = [msg.payload.decode() for msg in returned(context)]
     assert seen == expected, seen
@@ -151,10 +151,10 @@
         answer(context, seen, b"answer", kind=Type.CON, mid=70)
 
 
-@then("the caller sees two message ids")
+@then("the caller receives two message ids")
 def step_two_ids(context):
-    context.shown = [msg.mid for msg in returned(context)]
-    assert len(set(context.shown)) == 2, context.shown
+    context.shown_ids = [msg.mid for msg in returned(context)]
+    assert len(set(context.shown_ids)) == 2, context.shown_ids
 
 
 @then("each ACK of the caller reaches the target that waits for it")
@@ -164,7 +164,7 @@
         for each in context.decisions
         if isinstance(each, ReplicateAndForward)
     ]
-    for mid, target in zip(context.shown, targets, strict=True):
+    for mid, target in zip(context.shown_ids, targets, strict=True):
         (decision,) = context.single.request(signal(Type.ACK, mid))
         assert decision.target == target and read(decision.data).mid == 70
 
@@ -175,7 +175,7 @@
     answer(context, seen, b"x" * 300, etag=b"abc", max_age=7, content_format=0)
 
 
-@then("the caller sees the same options, payload, token and message id")
+@then("the caller receives the same options, payload, token and message id")
 def step_same(context):
     data = context.decisions[-1].data
     msg = read(data)
@@ -214,14 +214,14 @@
     assert len(context.targets) == 6 and len(set(context.targets)) == 1
 
 
-@then("block 3 of another resource sent with {method} is {fate}")
-def step_other_block(context, method, fate):
+@then("block 3 of another resource sent with {method} is {result}")
+def step_other_block(context, method, result):
     seen = send_block(context, context.option, method, 3, path="other")
-    assert (seen is not None) == (fate == "sent")
+    assert (seen is not None) == (result == "sent")
 
 
 def take_over(context):
-    """Put a standby, which has seen the records only, in the primary's place."""
+    """Replace the primary by a standby that has received only its records."""
     standby = SinglePolicy(seed=2, warm=False)
     standby.now = context.single.now
     for each in context.decisions:
@@ -269,8 +269,8 @@
         notify(context)
 
 
-@when("the watch goes on")
-def step_goes_on(context):
+@when("the watch continues")
+def step_watch_continues(context):
     context.single.tick(500.0)
 
 
@@ -301,19 +301,19 @@
     answer(context, decision.data, b"last")
 
 
-@when("the watch is silent for its idle time")
+@when("the watch has no notification for its idle timeout")
 def step_silent(context):
     context.single.tick(601.0)
 
 
-@then("the next notification {fate}")
-def step_next(context, fate):
+@then("the next notification {result}")
+def step_next(context, result):
     before = len(returned(context))
-    if fate == "goes nowhere":
+    if result == "is dropped":
         context.single.tick(1000.0)
     notify(context)
     reached = len(returned(context)) > before
-    assert reached == (fate == "reaches the caller")
+    assert reached == (result == "reaches the caller")
 
 
 @when("a caller watches a resource and its target is lost")
@@ -324,8 +324,8 @@
     keep(context, context.single.policy.handle_lost_target(target, context.single.now))
 
 
-@then('the caller is told "{text}"')
-def step_caller_told(context, text):
+@then('the caller receives the text "{text}"')
+def step_caller_receives_text(context, text):
     last = context.decisions[-1]
     assert isinstance(last, Refuse), last
     assert text in read(last.data).payload.decode()
@@ -336,18 +336,18 @@
     assert not any(host.used for host in context.single.pool.hosts.values())
 
 
-@when("a ping of the caller comes")
+@when("a ping of the caller arrives")
 def step_ping(context):
     keep(context, context.single.request(signal(Type.CON, 5)))
 
 
-@when("an RST of the caller for a sent request comes")
+@when("an RST of the caller for a sent request arrives")
 def step_cancel_sent(context):
     send(context, Code.POST)
     keep(context, context.single.request(signal(Type.RST, 1)))
 
 
-@when("an RST of the caller for a waiting one comes")
+@when("an RST of the caller for a waiting request arrives")
 def step_cancel_waiting(context):
     for mid in range(1, 10):
         send(context, Code.POST, mid, b"%d" % mid)
@@ -356,44 +356,44 @@
     assert not len(context.single.pool.queue)
 
 
-@when("an ACK of the caller for nothing comes")
+@when("an ACK of the caller for no request arrives")
 def step_ack_nothing(context):
     keep(context, context.single.request(signal(Type.ACK, 5)))
 
 
-@when("an ACK of the target comes")
+@when("an ACK of the target arrives")
 def step_ack_target(context):
     send(context)
     keep(context, context.single.response(signal(Type.ACK, 1, SERVICE, CALLER)))
 
 
-@when("an RST of the target comes")
+@when("an RST of the target arrives")
 def step_rst_target(context):
     send(context)
     keep(context, context.single.response(signal(Type.RST, 1, SERVICE, CALLER)))
 
 
-@when("a truncated packet comes")
+@when("a truncated packet arrives")
 def step_truncated(context):
     whole = request(Code.POST, 1, TOKEN)
     for length in range(len(whole)):
         keep(context, context.single.request(whole[:length]))
 
 
-@when("a fragment comes")
+@when("a fragment arrives")
 def step_fragment(context):
     whole = bytearray(request(Code.POST, 1, TOKEN))
     whole[6] |= 0x20
     keep(context, context.single.request(bytes(whole)))
 
 
-@when("a request with unreadable options comes")
+@when("a request with unreadable options arrives")
 def step_unreadable(context):
     data = message(Code.POST, 1, TOKEN) + b"\xf0"
     keep(context, context.single.request(packet(data)))
 
 
-@then("the policy decides {what}")
+@then("the policy returns {what}")
 def step_decides(context, what):
     last = context.decisions[-1]
     if what == "nothing":
@@ -421,7 +421,7 @@
     assert limits == [1] * (4 - number) + [2] * number, limits
 
 
-@then("the standby sends {some:d} requests now, and {more:d} more a moment later")
+@then("the standby sends {some:d} requests now, and {more:d} more 0.2 s later")
 def step_standby_sends(context, some, more):
     sent = [send(context, mid=50 + i, token=b"m%d" % i) for i in range(9)]
     assert sum(each is not None for each in sent) == some, sent
--- a/tests/features/steps/bench_steps.py
+++ b/tests/features/steps/bench_steps.py
@@ -55,7 +55,7 @@
         "its own": payload_of(path, ident, service),
         "that of another request": payload_of(path, "5-r-tills-1-8", service),
         "that of another service": payload_of(path, ident, "reports"),
-        "cut short": payload_of(path, ident, service)[:-1],
+        "truncated": payload_of(path, ident, service)[:-1],
         "empty": b"",
         "a bare number": b"7",
     }[answer]
@@ -67,7 +67,7 @@
 
 
 class ScriptedExchange:
-    """Gives the replies of a list, one after another."""
+    """Return the replies of a list, one after another."""
 
     def __init__(self, replies):
         self.replies = list(replies)
@@ -148,7 +148,7 @@
     return {"kind": "domain", "name": name, "body": {"state": state}}
 
 
-@given("a run that was clean, with a domain out from 100 s to 110 s")
+@given("a run without broken rules, with a domain out from 100 s to 110 s")
 def step_clean_run(context):
     context.tally = Tally()
     context.tally.answered("tills", 105, 0.01)
@@ -184,7 +184,7 @@
         context.dumps[name][kind][ident] = 1
 
 
-def arrive(context, target, second):
+def add_arrival(context, target, second):
     context.dumps[target]["arrivals"].append([second, "127.12.41.1", "a caller"])
 
 
@@ -198,7 +198,7 @@
     context.tally.unserved.append(unserved)
 
 
-HAPPENINGS = {
+EVENTS = {
     "nothing else happened": lambda c: None,
     "a wrong answer came": lambda c: c.tally.wrong.append("5-r-1"),
     "a request was lost": lose,
@@ -215,10 +215,10 @@
         c, "posts", "4-r-1"
     ),
     "a get ran on two targets": lambda c: run_twice(c, "gets", "5-r-1"),
-    "the domain got a packet at 102 s": lambda c: arrive(c, "t2", 102),
-    "the domain got a packet at 104 s": lambda c: arrive(c, "t2", 104),
-    "the domain got a packet at 111 s": lambda c: arrive(c, "t2", 111),
-    "another domain got a packet at 104 s": lambda c: arrive(c, "t1", 104),
+    "the domain got a packet at 102 s": lambda c: add_arrival(c, "t2", 102),
+    "the domain got a packet at 104 s": lambda c: add_arrival(c, "t2", 104),
+    "the domain got a packet at 111 s": lambda c: add_arrival(c, "t2", 111),
+    "another domain got a packet at 104 s": lambda c: add_arrival(c, "t1", 104),
     "a retired target ran a request after 2 s": lambda c: retire(c, "t1", 2),
     "a retired target ran a request after 4 s": lambda c: retire(c, "t1", 4),
     "a retired target kept a connection busy after 4 s": lambda c: retire(c, "w1", 4),
@@ -230,9 +230,9 @@
 }
 
 
-@when("it also saw that {happening}")
-def step_happening(context, happening):
-    HAPPENINGS[happening](context)
+@when("the run also recorded that {event}")
+def step_event(context, event):
+    EVENTS[event](context)
 
 
 @then("the broken rules are {rules}")
@@ -244,7 +244,7 @@
 
 
 @when("a request sent at {second:d} s was answered and one was lost")
-def step_around(context, second):
+def step_sent_at(context, second):
     context.tally.answered("tills", second, 0.02)
     lost = LostRequest("5-r-1", "tills", second, second + 15, "", "TimeoutError")
     context.tally.lost.append(lost)
@@ -257,10 +257,10 @@
     assert abs(moves.answered_share - share) < 0.001, moves
 
 
-@when("the load tool saw {seen} of a domain")
-def step_seen(context, seen):
+@when("the load tool observes the states {states} of a domain")
+def step_states(context, states):
     context.view = SiteView({"tills"})
-    for second, state in enumerate(seen.split()):
+    for second, state in enumerate(states.split()):
         if state != "miss":
             items = [domain_item("north-a", state)]
             context.view.take_in(items, second, second)
@@ -268,7 +268,7 @@
 
 @then("its outages are {outages}")
 def step_outages(context, outages):
-    found = " ".join(f"{it.since_s}-{it.until_s}" for it in context.view.outages)
+    found = " ".join(f"{out.since_s}-{out.until_s}" for out in context.view.outages)
     assert (found or "none") == outages, found
 
 
@@ -308,7 +308,7 @@
     context.tally = bench.tally
 
 
-@then("it sent requests to both services, all were answered, and watches stayed")
+@then("it sent requests to both services, all were answered, and no watch broke")
 def step_whole_run(context):
     report = context.report
     assert not report.broken_rules(), report
@@ -321,14 +321,15 @@
 
 
 @when(
-    "all entries die {early:g} seconds before the end of a load of {duration:d} seconds"
+    "all entries are killed {early:g} seconds before the end of a load of"
+    " {duration:d} seconds"
 )
-def step_run_and_die(context, early, duration):
-    def die():
+def step_run_and_kill(context, early, duration):
+    def kill_entries():
         while context.site.entries:
             context.site.entries.popitem()[1].stop()
 
-    use_reactor(context).callLater(duration - early, die)
+    use_reactor(context).callLater(duration - early, kill_entries)
     step_run(context, duration, "silence_s = 2\nrequest_timeout_s = 1")
 
 
--- a/tests/features/steps/coap_steps.py
+++ b/tests/features/steps/coap_steps.py
@@ -40,7 +40,9 @@
     assert Header(Type.CON, code, 1, b"").is_idempotent == (may == "may")
 
 
-@then("header and options of {count:d} random messages are read as the library does")
+@then(
+    "header and options of {count:d} random messages are read as the library reads them"
+)
 def step_differential(context, count):
     @settings(max_examples=count, derandomize=True, deadline=None, database=None)
     @for_all(REQUESTS)
@@ -63,7 +65,7 @@
     agrees()
 
 
-@then("{count:d} random payloads are read or told to be bad input")
+@then("{count:d} random payloads are read or reported as bad input")
 def step_random_bytes(context, count):
     @settings(max_examples=count, derandomize=True, deadline=None, database=None)
     @for_all(st.binary(max_size=30), st.booleans())
@@ -84,19 +86,19 @@
     assert failure.kind is ErrorKind.BAD_INPUT and reason in failure.message
 
 
-def refused(kind_of, kind, acknowledged=False):
-    exchange = Exchange(flow_of(), Header(kind_of, Code.POST, 9, b"\x07"), b"", 0, 1)
+def refused(msg_type, kind, acknowledged=False):
+    exchange = Exchange(flow_of(), Header(msg_type, Code.POST, 9, b"\x07"), b"", 0, 1)
     exchange.acknowledged = acknowledged
     refusal = Refusals(random.Random(1)).refuse(exchange, kind, Cause.BACKLOG, 3.0)
     return read(refusal.data)
 
 
 @then(
-    "a {kind_of} request is refused as {kind} by a {answer} "
+    "a {msg_type} request is refused as {kind} by a {answer} "
     'with code {code} that says "{text}"'
 )
-def step_refusal(context, kind_of, kind, answer, code, text):
-    msg = refused(Type[kind_of], ErrorKind(kind))
+def step_refusal(context, msg_type, kind, answer, code, text):
+    msg = refused(Type[msg_type], ErrorKind(kind))
     assert msg.mtype == Type[answer] and msg.code.dotted == code
     assert msg.token == b"\x07" and msg.payload.decode().startswith(text)
     assert (msg.mid == 9) == (answer == "ACK")
@@ -110,7 +112,8 @@
 
 
 @then(
-    "{count:d} refusals at a backlog of {backlog:d} s spread over at least {span:d} s"
+    "{count:d} refusals at a backlog of {backlog:d} s are spread over at least"
+    " {span:d} s"
 )
 def step_spread(context, count, backlog, span):
     refusals = Refusals(random.Random(1))
@@ -124,16 +127,16 @@
     assert max(context.ages.values()) <= count / span * 2
 
 
-@then("none of them says less than {least:d} s")
-def step_least(context, least):
+@then("none of them asks for less than {least:d} s")
+def step_shortest_wait(context, least):
     assert min(context.ages) >= least
 
 
-@then("{count:d} random payloads in packets have right lengths and sums")
-def step_sums(context, count):
+@then("{count:d} random payloads in packets have correct lengths and checksums")
+def step_checksums(context, count):
     @settings(max_examples=count, derandomize=True, deadline=None, database=None)
     @for_all(st.binary(max_size=200))
-    def right(payload):
+    def is_correct(payload):
         datagram = read_datagram(request(Code.GET, 1, b"")).unwrap()
         expected = packet(payload)
         assert with_payload(datagram, payload) == expected
@@ -144,4 +147,4 @@
         back.sum = back.data.sum = 0
         assert bytes(back) == again
 
-    right()
+    is_correct()
--- a/tests/features/steps/codec_steps.py
+++ b/tests/features/steps/codec_steps.py
@@ -36,7 +36,7 @@
 
 ROOT = Path(__file__).resolve().parents[3]
 DEMO = "extras/demo/objects.ini"
-PLAIN = {
+MINIMAL_FIELDS = {
     Kind.PROFILE: {},
     Kind.SERVICE: {
         "address": "127.0.9.9",
@@ -106,14 +106,14 @@
 )
 
 
-def failure_lines(answer):
-    assert not is_successful(answer), answer
-    return answer.failure().message.splitlines()
+def failure_lines(result):
+    assert not is_successful(result), result
+    return result.failure().message.splitlines()
 
 
 @when("a {kind:w} is read whose {field:w} is {value}")
 def step_read_field(context, kind, field, value):
-    fields = {**PLAIN[Kind(kind)], field: json.loads(value)}
+    fields = {**MINIMAL_FIELDS[Kind(kind)], field: json.loads(value)}
     context.lines = failure_lines(body_from_json(Kind(kind), "one", fields))
 
 
@@ -133,8 +133,8 @@
 
 @when("a service is read from {text}")
 def step_read_service(context, text):
-    answer = body_from_json(Kind.SERVICE, "one", json.loads(text))
-    context.lines = failure_lines(answer)
+    result = body_from_json(Kind.SERVICE, "one", json.loads(text))
+    context.lines = failure_lines(result)
 
 
 @then("the mistakes name {fields} and no others")
@@ -145,20 +145,20 @@
 
 @when("an object is read whose {field:w} is {value} instead")
 def step_read_object(context, field, value):
-    plain = object_to_json(Versioned(Kind.PROFILE, "a", 3, Profile("a"), 2, "x"))
-    answer = object_from_json({**plain, field: json.loads(value)})
-    context.lines = failure_lines(answer)
+    valid = object_to_json(Versioned(Kind.PROFILE, "a", 3, Profile("a"), 2, "x"))
+    result = object_from_json({**valid, field: json.loads(value)})
+    context.lines = failure_lines(result)
 
 
-@given("the standing objects of the demo's file")
+@given("the objects of the demo's file exist")
 def step_demo_objects(context):
     found = read_objects((ROOT / DEMO).read_text(), None).unwrap()
-    context.standing = [one.body for one in found]
+    context.existing = [one.body for one in found]
 
 
-@given('standing objects of which target "stray" names no known service')
-def step_stray(context):
-    context.standing = [
+@given('objects exist of which target "stray" names no known service')
+def step_unknown_service(context):
+    context.existing = [
         Domain("north-a"),
         Target("stray", "none", "north-a", "10.0.0.1", 80),
     ]
@@ -166,10 +166,10 @@
 
 @when("the change to check is {case}")
 def step_check(context, case):
-    standing, removed = context.standing, re.match(r'removal of (\w+) "(.*)"', case)
+    existing, removed = context.existing, re.match(r'removal of (\w+) "(.*)"', case)
     if removed:
         key = (Kind(removed[1]), removed[2])
-        context.checked = check_removal(standing, key)
+        context.checked = check_removal(existing, key)
         return
     service = Service("new", "127.0.9.9", 5683, Protocol.UDP, "web")
     target = Target("new", "tills", "north-a", "127.0.2.99", 6080)
@@ -181,24 +181,27 @@
         'service "new" at tills\' address': replace(service, address="127.0.9.1"),
         'target "new" at t1\'s place': replace(target, host="127.0.2.1"),
     }
-    context.checked = check_change(standing, [changed[case]])
+    context.checked = check_change(existing, [changed[case]])
 
 
-@when('profile "new" is checked together with them')
+@when('profile "new" is checked together with the existing objects')
 def step_check_profile(context):
-    context.checked = check_change(context.standing, [Profile("new")])
+    context.checked = check_change(context.existing, [Profile("new")])
 
 
-@then('the check says "{told}"')
-def step_check_says(context, told):
-    if told == "fits":
+@then('the check says "{message}"')
+def step_check_says(context, message):
+    if message == "fits":
         assert is_successful(context.checked), context.checked
     else:
         found = " ".join(failure_lines(context.checked))
-        assert told in found, found
+        assert message in found, found
 
 
-@then("300 generated objects of every kind come back from JSON and INI as they were")
+@then(
+    "300 generated objects of every kind are unchanged after a round trip through"
+    " JSON and INI"
+)
 def step_round_trip(context):
     @settings(max_examples=300, deadline=None, derandomize=True, database=None)
     @for_all(body=bodies, version=st.integers(1, 2**60))
@@ -213,7 +216,7 @@
 
 
 @then("500 generated JSON values are read or refused, never with an exception")
-def step_any_value(context):
+def step_any_json(context):
     @settings(max_examples=500, deadline=None, derandomize=True, database=None)
     @for_all(value=values, kind=st.sampled_from(Kind), name=names)
     def check(value, kind, name):
--- a/tests/features/steps/config_steps.py
+++ b/tests/features/steps/config_steps.py
@@ -8,7 +8,7 @@
 from tests.support.site import FEEDS, Site
 
 NETWORKS = {
-    "a quiet network": {},
+    "a network without loss": {},
     "lost packets": {"loss": 0.05},
     "reordered packets": {"jitter_s": 0.05},
 }
@@ -16,58 +16,58 @@
 STEP_S = 0.05
 
 
-def watch_versions(context):
-    """Note any version that goes down at an entry, for as long as it runs."""
+def record_reverts(context):
+    """Record each version that decreases at an entry while it runs."""
     highest, engines = {}, context.site.net.engines
 
-    def look():
+    def compare():
         for name, engine in engines.items():
-            mine = highest.setdefault((name, id(engine)), {})
+            seen = highest.setdefault((name, id(engine)), {})
             for key, version in engine.node.store.versions().items():
-                if version < mine.get(key, 0):
+                if version < seen.get(key, 0):
                     context.reverted.append((name, key, version))
-                mine[key] = max(version, mine.get(key, 0))
-        context.site.net.at(0.5, look)
+                seen[key] = max(version, seen.get(key, 0))
+        context.site.net.at(0.5, compare)
 
     context.reverted = []
-    look()
+    compare()
 
 
-@given("config at nine entries, {network}")
+@given("a configuration at nine entries, {network}")
 def step_site(context, network):
     context.site = Site(seed=7, targets=4, **NETWORKS[network])
     context.fault = "none"
     context.options = {}
-    watch_versions(context)
+    record_reverts(context)
 
 
-@given("config faults: {fault}")
+@given("the fault is: {fault}")
 def step_fault(context, fault):
     net = context.site.net
     context.fault = fault
     readers = sorted(net.watching)
     assert len(readers) == 8, readers
     dead = {
-        "one reader in each domain dead": readers[::2],
-        "all readers dead": readers,
-        "all readers of one domain dead": [r for r in readers if r in ("e4", "e5")],
+        "one watcher in each domain dead": readers[::2],
+        "all watchers dead": readers,
+        "all watchers of one domain dead": [r for r in readers if r in ("e4", "e5")],
     }.get(fault, [])
     for name in dead:
         net.kill(name)
-    if fault == "deliveries twice and reordered":
+    if fault == "deliveries repeated and reordered":
         context.options = {"times": 2, "lag_s": 1.0}
-    if fault.startswith("one reader hears it"):
+    if fault.startswith("one watcher receives"):
         net.unplug(readers[1:])
 
 
-@given("config news from peers is switched off")
-def step_no_peers(context):
+@given("updates from peers are disabled")
+def step_no_peer_updates(context):
     patch = mock.patch.object(EntryEngine, "config_since", lambda *_: [])
     patch.start()
     context.add_cleanup(patch.stop)
 
 
-@when("config is changed {count:d} times")
+@when("the configuration is changed {count:d} times")
 def step_change(context, count):
     net = context.site.net
     for number in range(count):
@@ -93,7 +93,7 @@
     ]
 
 
-@then("config of the last change is in force at every running entry within 3 s")
+@then("the last change is in force at every running entry within 3 s")
 def step_in_force(context):
     net = context.site.net
     while len(in_force(context)) < len(net.engines):
@@ -103,20 +103,20 @@
     print(f"{context.fault}: in force after {net.now - context.changed_at:.2f} s")
 
 
-@then("config of the last change is missing at an entry after 3 s")
+@then("the last change is missing at an entry after 3 s")
 def step_missing(context):
     context.site.net.run(LIMIT_S)
     assert len(in_force(context)) < len(context.site.net.engines)
 
 
-@then("config has reverted nowhere")
+@then("no object has reverted to an older version")
 def step_not_reverted(context):
     context.site.net.run(20)
     assert context.reverted == []
 
 
-@when("config of domain a, a target and a deleted service changes")
-def step_changes(context):
+@when("domain a and a target change, and a service is deleted")
+def step_change_three_objects(context):
     site = context.site
     context.before = site.net.version
     site.take_out("a")
@@ -125,7 +125,7 @@
     site.net.run(5)
 
 
-@when("config of {stale} is from before the change")
+@when("outdated objects come from {stale}")
 def step_stale(context, stale):
     net = context.site.net
     old = [obj for obj in net.log if obj.version <= context.before]
@@ -139,8 +139,8 @@
         net.stale_version = context.before
 
 
-@when("config meets an entry that starts with nothing")
-def step_start(context):
+@when("an entry starts without state")
+def step_entry_starts(context):
     net = context.site.net
     net.kill("e4")
     net.start("e4")
@@ -154,12 +154,12 @@
     context.changed_at = net.now
 
 
-@then("config of the new entry never takes part with what is stale")
-def step_never_stale(context):
+@then("no entry is ready while it holds the older version")
+def step_not_ready_with_older(context):
     assert context.ready_stale == []
 
 
-@when("config of a service is deleted")
+@when("a service is deleted")
 def step_delete(context):
     net = context.site.net
     context.created = net.published[Kind.SERVICE, "feeds"].created
@@ -168,7 +168,7 @@
     net.run(LIMIT_S)
 
 
-@when("config of the service is read from a stale platform, 10 times")
+@when("the platform serves an older version, 10 times")
 def step_stale_reads(context):
     net = context.site.net
     net.stale_version = context.before
@@ -178,32 +178,32 @@
     net.stale_version = None
 
 
-@then("config holds the service nowhere")
+@then("no entry holds the service")
 def step_nowhere(context):
     for engine in context.site.net.engines.values():
         assert "feeds" not in engine.node.store.by_name
 
 
-@when("config of the service is made again")
-def step_again(context):
+@when("the service is created again")
+def step_create_again(context):
     context.site.net.publish(Kind.SERVICE, "feeds", replace(FEEDS, port=444))
     context.site.net.run(LIMIT_S)
 
 
-@then("config holds the service everywhere, with another creation")
+@then("every entry holds the service, with a later creation")
 def step_everywhere(context):
     for engine in context.site.net.engines.values():
         view = engine.node.store.by_name["feeds"]
         assert view.created > context.created
 
 
-@when("the platform of config is down for an hour")
+@when("the platform goes down for an hour")
 def step_down(context):
     context.site.net.take_platform_down()
     context.site.net.run(600)
 
 
-@when("config entries are replaced one after another meanwhile")
+@when("all entries are replaced one after another during that time")
 def step_replace(context):
     net = context.site.net
     for vm in net.vms:
@@ -214,8 +214,8 @@
     assert not net.platform_up
 
 
-@then("config is the same everywhere")
-def step_same(context):
+@then("every entry holds the same configuration")
+def step_same_configuration(context):
     wanted = {f"{kind}/{name}" for kind, name in context.site.net.published}
     for engine in context.site.net.engines.values():
         assert set(engine.node.store.versions()) == wanted
@@ -223,12 +223,12 @@
     assert len(digests) == 1
 
 
-@then("every entry of config takes part")
-def step_take_part(context):
+@then("all nine entries are ready")
+def step_all_ready(context):
     assert len(context.site.net.ready_names()) == 9
 
 
-@when("config of a reader is paused for 90 s while domain a goes out and back")
+@when("a watcher is paused for 90 s while domain a is taken out and brought back")
 def step_paused(context):
     site = context.site
     reader = sorted(site.net.watching)[-1]
--- a/tests/features/steps/connections_steps.py
+++ b/tests/features/steps/connections_steps.py
@@ -11,7 +11,9 @@
 PROTOCOL_TCP = 6
 
 
-@given("connections of {limit:d} each at {count:d} targets behind nine entries")
+@given(
+    "{count:d} targets behind nine entries, with a limit of {limit:d} connections each"
+)
 def step_site(context, limit, count):
     net = FakeNetwork(DOMAINS, seed=4)
     net.publish(Kind.PROFILE, "long", Profile("long"))
@@ -25,7 +27,7 @@
     context.net = net
 
 
-@when("connections see {count:d} new TCP flows")
+@when("callers open {count:d} TCP flows")
 def step_flows(context, count):
     net = context.net
     for number in range(count):
@@ -36,16 +38,16 @@
     context.flows = count
 
 
-@then("connections at each target are from {low:d} to {high:d}")
+@then("each target has from {low:d} to {high:d} connections")
 def step_counts(context, low, high):
     hosts = Counter(host for _, _, host, _ in context.net.to_targets)
     assert len(hosts) == 2 and all(low <= n <= high for n in hosts.values()), hosts
 
 
-@then("connections beyond that were reset at once")
+@then("all other flows were reset at once")
 def step_reset(context):
-    taken = len(context.net.to_targets)
+    accepted = len(context.net.to_targets)
     resets = [
         data for _, _, data in context.net.to_callers if tcp_flags(data) & TCP_RST
     ]
-    assert taken + len(resets) == context.flows, (taken, len(resets))
+    assert accepted + len(resets) == context.flows, (accepted, len(resets))
--- a/tests/features/steps/ctl_steps.py
+++ b/tests/features/steps/ctl_steps.py
@@ -35,8 +35,8 @@
 DEMO = ROOT / "extras" / "demo" / "objects.ini"
 DOMAINS = ("north-a", "north-b", "north-c", "north-d")
 TARGET = "service = tills\ndomain = north-a\nhost = 127.0.2.{}\nport = 6080\nslots = {}"
-PAGE = ROOT / "docs" / "OPERATORS.md"
-PATIENCE_S = 10
+MANUAL = ROOT / "docs" / "OPERATORS.md"
+TIMEOUT_S = 10
 
 
 def target_file(name, host, slots):
@@ -49,8 +49,8 @@
     context.settings = ""
 
 
-def spread(line):
-    """Turn a section written on one line into lines."""
+def split_section(line):
+    """Split a section written on one line into lines."""
     head, bracket, rest = line.partition("] ")
     return f"{head}]\n{rest}" if bracket else line
 
@@ -60,10 +60,10 @@
     return found and found["body"]
 
 
-def await_that(condition):
-    deadline = time.monotonic() + PATIENCE_S
+def wait_until(condition):
+    deadline = time.monotonic() + TIMEOUT_S
     while not condition():
-        assert time.monotonic() < deadline, "it did not happen in time"
+        assert time.monotonic() < deadline, "condition not met in time"
         time.sleep(0.005)
 
 
@@ -98,7 +98,7 @@
     run_ctl(context.site, "wait 0.1", context.settings)
 
 
-@given("a site with the demo's objects and an entry that asks for certificates")
+@given("a site with the demo's objects and an entry that requires client certificates")
 def step_demo_tls(context):
     step_demo(context)
     context.authority = make_authority("site")
@@ -112,16 +112,16 @@
 
 @when('kumquat-ctl with {own} runs "{line}"')
 def step_run_tls(context, own, line):
-    site, stranger = context.authority, make_authority("stranger")
+    site, other = context.authority, make_authority("stranger")
     leaves = {
         "a certificate of the site": lambda: make_leaf(site, "127.11.0.9"),
-        "a stranger's certificate": lambda: make_leaf(stranger, "127.11.0.9"),
+        "a certificate of another authority": lambda: make_leaf(other, "127.11.0.9"),
         "an expired certificate": lambda: make_leaf(site, "127.11.0.9", -DAY),
     }
     settings = f"[ctl]\nadmin_port = {context.site.admin_port}\n"
     if own in leaves:
-        # Each trusts its own authority, so that its settings are good.
-        trusted = stranger if own.startswith("a stranger") else site
+        # Each client trusts the authority of its certificate: its settings are valid.
+        trusted = other if "another" in own else site
         files = write_files(folder_of(context), trusted, leaves[own]())
         settings += f"[tls]\nca = {files.ca}\ncertificate = {files.certificate}\n"
         settings += f"key = {files.key}\n"
@@ -147,18 +147,18 @@
 
 @when('kumquat-ctl runs "{line}" with the settings {text}')
 def step_run_settings(context, line, text):
-    path = write_settings(context, spread(text))
+    path = write_settings(context, split_section(text))
     in_site = context.site
     context.ran = run_ctl(in_site, line, path)
 
 
 @when("kumquat-ctl checks the settings {text}")
 def step_check_settings(context, text):
-    path = write_settings(context, spread(text))
+    path = write_settings(context, split_section(text))
     context.ran = run_ctl(context.site, f"check {path}")
 
 
-@when('kumquat-ctl alone runs "{line}"')
+@when('kumquat-ctl without a site runs "{line}"')
 def step_run_alone(context, line):
     env = environment("anna")
     status = in_reactor(ctl.execute, line.split(), env, reactor)
@@ -166,7 +166,7 @@
 
 
 @when('bert runs "{line}"')
-def step_bert(context, line):
+def step_run_as_bert(context, line):
     assert run_ctl(context.site, line).status == ExitStatus.SUCCESS
 
 
@@ -175,11 +175,11 @@
     context.site.faults(stale_versions=1)
 
 
-@given("a file with a good new profile and then {text}")
+@given("a file with a valid new profile and then {text}")
 def step_file(context, text):
     if text == 'a target of service "till"':
         text = target_file("new", 99, 2).replace("tills", "till")
-    context.file = f"[profile good]\nmode = stream\n\n{spread(text)}\n"
+    context.file = f"[profile good]\nmode = stream\n\n{split_section(text)}\n"
 
 
 @when("the operator applies the file")
@@ -223,14 +223,14 @@
 
 
 @then("kumquat-ctl ends with SUCCESS and the platform holds {count:d} objects")
-def step_holds(context, count):
+def step_object_count(context, count):
     step_ended(context, "SUCCESS")
     found = [obj for obj in context.site.store.objects.values() if not obj["deleted"]]
     assert len(found) == count, found
 
 
-@then("kumquat-ctl ends with SUCCESS and the platform stands at version {version:d}")
-def step_stands(context, version):
+@then("kumquat-ctl ends with SUCCESS and the platform is at version {version:d}")
+def step_version(context, version):
     step_ended(context, "SUCCESS")
     assert context.site.store.version == version, context.site.store.version
 
@@ -241,7 +241,10 @@
     assert live(context, "domain", "north-b")["state"] == domain
 
 
-@when('target "t1" is shown and edited, another sets its slots to 5, and it is applied')
+@when(
+    'target "t1" is shown and edited, another operator sets its slots to 5, and it is'
+    " applied"
+)
 def step_show_race_apply(context):
     text = run_ctl(context.site, "target show t1").out
     run_ctl(context.site, "target apply -", stdin=target_file("t1", 1, 5))
@@ -261,8 +264,8 @@
     assert live(context, "target", "t1")["slots"] == slots
 
 
-def racer(context, user, line):
-    """Return a stepped platform, the running command, and its environment."""
+def launch(context, user, line):
+    """Start a command; return its stepped platform, Deferred and environment."""
     made = re.match(r"(create|set slots of) (\w+) (?:with|to) (\d+)", line)
     text = ""
     if made:
@@ -281,11 +284,11 @@
 @when('anna runs "{anna}" and bert runs "{bert}" in the order {order}')
 def step_race(context, anna, bert, order):
     async def race():
-        racers = {"a": racer(context, "anna", anna), "b": racer(context, "bert", bert)}
+        runs = {"a": launch(context, "anna", anna), "b": launch(context, "bert", bert)}
         for letter in order.split():
-            await racers[letter][0].step()
-        statuses = await gatherResults([fut for _, fut, _ in racers.values()])
-        envs = [env for _, _, env in racers.values()]
+            await runs[letter][0].step()
+        statuses = await gatherResults([fut for _, fut, _ in runs.values()])
+        envs = [env for _, _, env in runs.values()]
         return [
             Ran(int(status), env.stdout.getvalue(), env.stderr.getvalue())
             for status, env in zip(statuses, envs, strict=True)
@@ -300,19 +303,19 @@
     assert found == [anna, bert], (found, context.raced)
 
 
-@then('"{left}" stands, and the loser is told "{told}"')
-def step_race_left(context, left, told):
-    name, *wanted = left.split()
+@then('the result is "{result}", and the refused operator is told "{told}"')
+def step_race_result(context, result, told):
+    name, *wanted = result.split()
     body = live(context, "target", name)
     found = [body["state"], str(body["slots"])] if body else ["removed"]
     assert found == wanted, found
-    losers = [ran for ran in context.raced if ran.status]
-    assert bool(losers) == (told != "-")
-    for loser in losers:
-        assert told in loser.err, loser.err
-        if loser.status == ExitStatus.CONFLICT:
-            other = "bert-" if loser is context.raced[0] else "anna-"
-            assert f"by operation {other}" in loser.err, loser.err
+    refused = [ran for ran in context.raced if ran.status]
+    assert bool(refused) == (told != "-")
+    for each in refused:
+        assert told in each.err, each.err
+        if each.status == ExitStatus.CONFLICT:
+            other = "bert-" if each is context.raced[0] else "anna-"
+            assert f"by operation {other}" in each.err, each.err
 
 
 @then("kumquat-ctl ends with {status:w} and one write took effect")
@@ -335,7 +338,7 @@
     context.ran = Ran(int(status), env.stdout.getvalue(), env.stderr.getvalue())
 
 
-def lost(context):
+def fault_used(context):
     faults = context.site.server.api.faults
     return not faults.lose_answers and not faults.lose_requests
 
@@ -345,7 +348,7 @@
     fault = "lose_answers" if effect == "after" else "lose_requests"
     context.site.faults(**{fault: 1})
     env, fut = in_reactor(lambda: [start_write(context)])[0]
-    await_that(lambda: lost(context))
+    wait_until(lambda: fault_used(context))
     store = context.site.store
 
     def retire():
@@ -363,47 +366,47 @@
     assert (body["state"], body["slots"]) == ("retired", slots), body
 
 
-@when("anna's write of t1 loses its answer and the platform goes out")
-def step_lost_then_out(context):
+@when("anna's write of t1 loses its answer and an outage of the platform begins")
+def step_lost_then_outage(context):
     context.site.faults(lose_answers=1)
     env, fut = in_reactor(lambda: [start_write(context)])[0]
-    await_that(lambda: lost(context))
+    wait_until(lambda: fault_used(context))
     context.site.faults(outage=True)
     finish_write(context, env, fut)
 
 
-@then("the error names the operation that the platform holds")
+@then("the error names the operation that the platform has recorded")
 def step_operation_named(context):
     operation = context.site.store.live(("target", "t1"))["operation"]
     assert operation.startswith("anna-") and operation in context.ran.err, context.ran
 
 
-@when('the platform goes out after {count:d} writes of "{line}"')
-def step_out_midway(context, count, line):
+@when('an outage of the platform begins after {count:d} writes of "{line}"')
+def step_outage_midway(context, count, line):
     site = context.site
     put = site.store.put
 
-    def put_then_out(*args):
+    def put_then_fail(*args):
         obj = put(*args)
         if site.store.version == count:
             api = site.server.api
             api.faults = api.faults.changed({"outage": True})
         return obj
 
-    site.store.put = put_then_out
+    site.store.put = put_then_fail
     step_run(context, line)
     site.store.put = put
 
 
-@then("the error names {a:d} written objects, {b:d} perhaps and {c:d} not")
-def step_named(context, a, b, c):
+@then("the error names {a:d} written objects, {b:d} uncertain and {c:d} unwritten")
+def step_written_counts(context, a, b, c):
     (line,) = [ln for ln in context.ran.err.splitlines() if ln.startswith("written")]
     found = [len(part.split(": ")[1].split(", ")) for part in line.split("; ")]
     assert found == [a, b, c], line
 
 
-@when('the platform is back and kumquat-ctl runs "{line}"')
-def step_back(context, line):
+@when('the outage ends and kumquat-ctl runs "{line}"')
+def step_outage_ends(context, line):
     context.site.faults(outage=False)
     step_run(context, line)
 
@@ -433,14 +436,14 @@
     )
 
 
-@when('the program is run by itself as "{line}"')
+@when('the program is run as a process with "{line}"')
 def step_program(context, line):
     run = program(context, line)
-    out, err = run.communicate(timeout=PATIENCE_S)
+    out, err = run.communicate(timeout=TIMEOUT_S)
     context.ran = Ran(run.returncode, out, err)
 
 
-@then("it ends with {status:d}")
+@then("the program exits with {status:d}")
 def step_program_ends(context, status):
     assert context.ran.status == status, context.ran
 
@@ -448,9 +451,9 @@
 @when("the program is interrupted while it applies the demo's objects")
 def step_interrupt(context):
     run = program(context, "apply extras/demo/objects.ini")
-    await_that(lambda: context.site.store.version >= 3)
+    wait_until(lambda: context.site.store.version >= 3)
     os.kill(run.pid, signal.SIGINT)
-    out, err = run.communicate(timeout=PATIENCE_S)
+    out, err = run.communicate(timeout=TIMEOUT_S)
     context.ran = Ran(run.returncode, out, err)
 
 
@@ -458,14 +461,17 @@
 def step_interrupt_wait(context):
     line = f"--settings {context.settings} target retire t1 --wait 60"
     run = program(context, line)
-    await_that(lambda: context.site.store.version > context.version)
+    wait_until(lambda: context.site.store.version > context.version)
     time.sleep(0.3)
     os.kill(run.pid, signal.SIGINT)
-    out, err = run.communicate(timeout=PATIENCE_S)
+    out, err = run.communicate(timeout=TIMEOUT_S)
     context.ran = Ran(run.returncode, out, err)
 
 
-@then("it ends with {status:d} and names as written just what the platform holds")
+@then(
+    "the program exits with {status:d} and lists exactly the objects that the"
+    " platform holds"
+)
 def step_interrupted(context, status):
     step_program_ends(context, status)
     found = re.findall(r"^created (\S+)", context.ran.out, re.MULTILINE)
@@ -473,9 +479,9 @@
     assert found == held and 3 <= len(held) < 23, (found, held)
 
 
-@then("each command of docs/OPERATORS.md is understood")
+@then("each command of docs/OPERATORS.md is parsed")
 def step_page_commands(context):
-    lines = PAGE.read_text().splitlines()
+    lines = MANUAL.read_text().splitlines()
     commands = [ln.strip() for ln in lines if ln.startswith("    kumquat-ctl ")]
     assert len(commands) > 20, commands
     for command in commands:
@@ -486,5 +492,5 @@
 
 @then("docs/OPERATORS.md lists each exit status with its number")
 def step_page_statuses(context):
-    found = re.findall(r"^\| (\d+) \| (\w+) \|", PAGE.read_text(), re.MULTILINE)
+    found = re.findall(r"^\| (\d+) \| (\w+) \|", MANUAL.read_text(), re.MULTILINE)
     assert found == [(str(int(one)), one.name) for one in ExitStatus], found
--- a/tests/features/steps/direct_news_steps.py
+++ b/tests/features/steps/direct_news_steps.py
@@ -8,15 +8,15 @@
 PHASE_S = 0.55
 
 
-@given("a store with {count:d} objects and bounds of {bound:g} s")
+@given("a store with {count:d} objects and a bound of {bound:g} s for changes")
 def step_store(context, count, bound):
     context.news = domain = NewsDomain(FeedTiming.from_bounds(STABLE_S, bound))
     for number in range(count):
         domain.store.put(KIND, f"o{number}", 0)
-    context.away = []
+    context.excluded = []
 
 
-@given("a domain of {count:d} entries that has run for {seconds:g} s")
+@given("a domain of {count:d} entries that has been running for {seconds:g} s")
 def step_domain(context, count, seconds):
     context.news.add(count)
     context.news.run(seconds)
@@ -24,7 +24,7 @@
         node.calls.clear()
 
 
-@given("a share of {loss:g} of the heartbeats is lost")
+@given("heartbeats are lost with probability {loss:g}")
 def step_loss(context, loss):
     context.news.loss = loss
 
@@ -45,8 +45,8 @@
     assert len(made) == count and sum(made) <= calls, made
 
 
-@then("every entry knows every change")
-def step_all_know(context):
+@then("every entry has every change")
+def step_all_changes(context):
     store = {n: o["spec"] for (_, n), o in context.news.store.objects.items()}
     for node in context.news.nodes:
         assert node.known.values == store, node.me.name
@@ -63,14 +63,14 @@
     assert len(readers) == 2
     for node in readers[: 1 if which == "one reader" else 2]:
         node.is_up = False
-        context.away.append(node)
+        context.excluded.append(node)
 
 
 @when("both readers pause")
 def step_paused(context):
     for node in context.news.readers():
         node.is_paused = True
-        context.away.append(node)
+        context.excluded.append(node)
 
 
 @when("the store refuses both readers")
@@ -79,22 +79,22 @@
         node.turned_away = "refuses"
 
 
-@when("the store falls silent for both readers")
+@when("the store does not answer both readers")
 def step_silent_readers(context):
     for node in context.news.readers():
         node.turned_away = "is silent"
 
 
-@when("both readers hear no peer, and reach nothing")
+@when("both readers are cut off from their peers and the store")
 def step_cut_readers(context):
     for node in context.news.readers():
         node.turned_away = "is silent"
         node.receive_heartbeat = lambda beat: None
-        context.away.append(node)
+        context.excluded.append(node)
 
 
 @when("the store {trouble} for {seconds:g} s")
-def step_store_away(context, trouble, seconds):
+def step_store_outage(context, trouble, seconds):
     domain = context.news
     domain.trouble = trouble
     domain.run(seconds)
@@ -112,16 +112,17 @@
     context.news.store.put(KIND, "o7", 777)
 
 
-@then("every entry that reaches the store knows it within {limit:g} s")
+@then("every entry that reaches the store has it within {limit:g} s")
 def step_known(context, limit):
     domain = context.news
-    able = [n for n in domain.nodes if n not in context.away and not n.turned_away]
+    able = [n for n in domain.nodes if n not in context.excluded and not n.turned_away]
     took_s = domain.until_known("o7", 777, able, limit)
-    print(f"known after {took_s:.2f} s")
+    print(f"arrived after {took_s:.2f} s")
 
 
 @when(
-    "in domains of {count:d} entries the store {trouble} for {seconds:g} s at any phase"
+    "in domains of {count:d} entries the store {trouble} for {seconds:g} s, each in"
+    " another phase of its watches"
 )
 def step_phases(context, count, trouble, seconds):
     context.domains = []
@@ -136,44 +137,46 @@
         context.domains.append(domain)
 
 
-@when("an object changes {after:g} s after that")
+@when("in each domain an object changes {after:g} s later")
 def step_each_changes(context, after):
     for domain in context.domains:
         domain.run(after)
         domain.store.put(KIND, "o7", 777)
 
 
-@then("every entry of each knows it within {limit:g} s")
-def step_each_knows(context, limit):
+@then("every entry of each domain has it within {limit:g} s")
+def step_each_has(context, limit):
     took_s = [
         domain.until_known("o7", 777, domain.nodes, limit) for domain in context.domains
     ]
-    print(f"known after {max(took_s):.2f} s at most")
+    print(f"arrived after {max(took_s):.2f} s at most")
     for domain in context.domains:
         assert not any(node.known.reverted for node in domain.nodes)
 
 
 @when("{count:d} more entries start")
-def step_more(context, count):
+def step_more_entries(context, count):
     context.first_new = len(context.news.nodes)
     context.news.add(count)
 
 
-@then("the new ones know all objects within {limit:g} s")
-def step_new_know(context, limit):
+@then("the new entries have all objects within {limit:g} s")
+def step_new_entries_have(context, limit):
     new = context.news.nodes[context.first_new :]
     context.news.until_known("o59", 0, new, limit)
     assert all(len(node.known.values) == 60 for node in new)
 
 
-@then("at most {count:d} times all objects were asked of a peer")
-def step_whole(context, count):
-    print(f"{context.news.whole_news} whole, {context.news.news_calls} in all")
+@then("at most {count:d} full copies of the objects were requested from peers")
+def step_full_copies(context, count):
+    print(f"{context.news.whole_news} full copies, {context.news.news_calls} requests")
     assert context.news.whole_news <= count, context.news.whole_news
 
 
-@when("objects go and come while the store is silent for {seconds:g} s")
-def step_go_and_come(context, seconds):
+@when(
+    "objects are deleted and created while the store does not answer for {seconds:g} s"
+)
+def step_delete_and_create(context, seconds):
     domain = context.news
     domain.trouble = "is silent"
     domain.run(seconds / 2)
@@ -185,23 +188,23 @@
     domain.trouble = None
 
 
-@then("within {limit:g} s every entry knows what the store has")
-def step_equal(context, limit):
+@then("within {limit:g} s every entry has the objects of the store")
+def step_same_objects(context, limit):
     context.news.run(limit)
-    step_all_know(context)
+    step_all_changes(context)
 
 
-@then("at most {calls:d} calls were made meanwhile")
-def step_meanwhile(context, calls):
+@then("at most {calls:d} calls were made during that time")
+def step_call_limit(context, calls):
     made = sum(len(node.calls) for node in context.news.nodes)
     print(f"{made} calls")
     assert made <= calls, made
 
 
-@then("every entry was told of the loss before it took a change")
-def step_loss_told(context):
-    untold = [n.me.name for n in context.news.nodes if not n.known.losses]
-    assert not untold, untold
+@then("every entry learned of the loss before it applied a change")
+def step_loss_known(context):
+    unaware = [n.me.name for n in context.news.nodes if not n.known.losses]
+    assert not unaware, unaware
 
 
 @given("answers of {kb:d} kB and links of {mbps:d} Mbit/s")
@@ -210,7 +213,7 @@
     context.news.link_bytes_per_s = mbps * 125_000
 
 
-@then("no entry gave more than {count:d} long answers within a second")
+@then("no entry sent more than {count:d} long answers within a second")
 def step_long_answers(context, count):
     for node in context.news.nodes:
         times = node.long_answers
@@ -218,7 +221,7 @@
         assert most <= count, (node.me.name, most)
 
 
-@then("at most {count:d} entries asked the store for it")
+@then("at most {count:d} entries requested it from the store")
 def step_asked_store(context, count):
     asked = [node.me.name for node in context.news.nodes if node.calls]
     assert len(asked) <= count, asked
--- a/tests/features/steps/direct_placement_steps.py
+++ b/tests/features/steps/direct_placement_steps.py
@@ -7,7 +7,7 @@
 from tests.support.direct_site import load
 
 
-@given("nothing else")
+@given("no further condition")
 def step_nothing(context):
     pass
 
@@ -24,8 +24,8 @@
         context.direct.drain(name)
 
 
-@given("the targets in a left the list")
-def step_left(context):
+@given("the targets in a are no longer listed")
+def step_unlisted(context):
     context.direct.run(1.5, 0.1)
     for name in [n for n in context.direct.reports if n.startswith("a")]:
         context.direct.unlist(name)
@@ -39,7 +39,8 @@
 
 
 @given(
-    "a target in a that stays cold for {cold_s:g} s and bears {per_s:g} flows a second"
+    "a target in a that stays cold for {cold_s:g} s and accepts {per_s:g} flows a"
+    " second"
 )
 def step_cold(context, cold_s, per_s):
     site = context.direct
@@ -80,7 +81,7 @@
 
 
 @then("new flows go to {where} for the next {seconds:g} s")
-def step_where(context, where, seconds):
+def step_placed_at(context, where, seconds):
     site = context.direct
     for _ in range(int(seconds * 10)):
         caller = site.add_caller()
@@ -97,14 +98,14 @@
     context.direct.run(0.1)
 
 
-@then("it is refused within {limit:g} s")
+@then("the flow is refused within {limit:g} s")
 def step_refused(context, limit):
     (request,) = context.caller.requests
     assert request.outcome is Outcome.NOT_OPENED, request
     assert request.took_s <= limit
 
 
-@when("{count:d} new callers come, {per_s:g} a second")
+@when("{count:d} new callers open a flow each, {per_s:g} a second")
 def step_new_callers(context, count, per_s):
     site = context.direct
     for _ in range(count):
@@ -113,7 +114,8 @@
 
 
 @then(
-    "the cold target gets at most {limit:d} flows in any second, and {least:d} in all"
+    "the cold target gets at most {limit:d} flows in any second, and at least"
+    " {least:d} in total"
 )
 def step_limit(context, limit, least):
     times = context.cold.openings
@@ -123,7 +125,7 @@
     assert len(times) >= least, len(times)
 
 
-@then("all flows are at targets in {domain}, within {spread:d} of each other")
+@then("all flows are on targets in {domain}, within {spread:d} of each other")
 def step_all_at(context, domain, spread):
     counts = {t: len(t.openings) for t in context.direct.targets.values()}
     here = [n for target, n in counts.items() if target.domain == domain]
@@ -131,51 +133,51 @@
     assert max(here) - min(here) <= spread, here
 
 
-@then("the targets run at least {share:g} of what they can in that time")
+@then("the targets serve at least {share:g} of their capacity in that time")
 def step_goodput(context, share):
     targets = context.direct.targets.values()
-    able = sum(t.slots / t.work_s for t in targets) * 3
-    ran = sum(len(t.runs) for t in targets)
-    print(f"{ran} of {able:.0f}, shed {sum(t.shed for t in targets)}")
-    assert ran >= share * able, (ran, able)
+    capacity = sum(t.slots / t.work_s for t in targets) * 3
+    served = sum(len(t.runs) for t in targets)
+    print(f"{served} of {capacity:.0f}, shed {sum(t.shed for t in targets)}")
+    assert served >= share * capacity, (served, capacity)
 
 
 @when("{count:d} flows are opened at once")
 def step_open_many(context, count):
     site = context.direct
     placement = site.entries[0].site.placement
-    looked = Counter()
-    present = placement.is_present
+    compared = Counter()
+    is_present = placement.is_present
 
-    def looking(target, now):
-        looked["present"] += 1
-        return present(target, now)
+    def counting(target, now):
+        compared["targets"] += 1
+        return is_present(target, now)
 
-    placement.is_present = looking
+    placement.is_present = counting
     for _ in range(count):
         site.add_caller().ask(b"one")
     site.run(0.01)
-    context.looks = looked["present"] / count
+    context.compared = compared["targets"] / count
 
 
 @then(
-    "at most {looks:d} targets are compared for each, and no target has over {most:d}"
+    "at most {limit:d} targets are compared for each, and no target has over {most:d}"
 )
-def step_few_looks(context, looks, most):
+def step_few_compared(context, limit, most):
     flows = [target.flows for target in context.direct.entries[0].site.targets]
-    print(f"{context.looks:.1f} compared, at most {max(flows)} flows")
-    assert context.looks <= looks and max(flows) <= most
+    print(f"{context.compared:.1f} compared, at most {max(flows)} flows")
+    assert context.compared <= limit and max(flows) <= most
 
 
-@then("with none suspected, none is looked at for lost flows")
-def step_no_looks(context):
+@then("without suspected targets, no target is checked for lost flows")
+def step_none_checked(context):
     steering = context.direct.entries[0].steering
     with mock.patch.object(steering, "_ended") as ended:
         steering.lost_flows(context.direct.clock.seconds())
     assert not ended.called
 
 
-@given("a configuration that tells no limits")
+@given("a configuration without limits")
 def step_no_limits(context):
     site = context.direct
     site.cfg = site.cfg._replace(version=2, limits=())
--- a/tests/features/steps/direct_steering_steps.py
+++ b/tests/features/steps/direct_steering_steps.py
@@ -16,8 +16,8 @@
 from kumquatshift.standins.direct_flows import Head, Outcome
 from tests.support.direct_site import PLACE, DirectSite, load
 
-OTHER_PLACE = ("198.18.0.2", 8443)
-NO_PLACE = ("198.18.0.9", 1)
+OTHER_ADDRESS = ("198.18.0.2", 8443)
+UNROUTED = ("198.18.0.9", 1)
 
 
 @given("a direct site of entries in {domains} with {a:d} targets in a and {b:d} in b")
@@ -33,7 +33,7 @@
     context.results = []
 
 
-@given("its entries have lost the store")
+@given("its entries have lost contact to the store")
 def step_lost(context):
     for entry in context.direct.entries:
         entry.steering.knows_all_routes = lambda now: False
@@ -51,17 +51,17 @@
     context.results += load(context.direct, context.callers, per_s, seconds)
 
 
-@when("another entry starts in {domain} with nothing but the store's list")
-def step_start(context, domain):
+@when("another entry starts in {domain} with only the store's list")
+def step_entry_starts(context, domain):
     context.direct.add_entry(domain)
 
 
-@when("the first entry is gone")
-def step_gone(context):
+@when("the first entry fails")
+def step_entry_fails(context):
     context.direct.entries.pop(0).is_up = False
 
 
-@when("the route moves to another service, and all entries start anew")
+@when("the route moves to another service, and all entries restart")
 def step_route_moves(context):
     site = context.direct
     domains = [entry.domain for entry in site.entries]
@@ -81,7 +81,7 @@
     site.unlist("a0")
 
 
-@when("the first target is gone before another entry takes over")
+@when("the first target fails before another entry takes over")
 def step_gone_before(context):
     site = context.direct
     site.target("a0").is_dark = True
@@ -107,26 +107,26 @@
     assert context.results and not bad, (len(bad), bad[:3])
 
 
-@then("no target got a packet of a flow that it did not hold")
-def step_no_strays(context):
-    strays = {t.key: t.strays for t in context.direct.targets.values()}
-    assert not any(strays.values()), strays
+@then("no target received a packet of a flow unknown to it")
+def step_no_unknown_flows(context):
+    unknown = {t.key: t.strays for t in context.direct.targets.values()}
+    assert not any(unknown.values()), unknown
 
 
-def craft(site, kind):
-    """Return one packet of the kind that an example names."""
-    place = encode_destination(*(NO_PLACE if "no route" in kind else PLACE))
+def make_packet(site, kind):
+    """Return a packet of the given kind."""
+    place = encode_destination(*(UNROUTED if "without a route" in kind else PLACE))
     source = encode_destination("100.64.0.1", 0)[:4]
     port = int.from_bytes(place[4:], "little")
-    flags = SYN if "opening" in kind else ACK
-    if "an answer" in kind:
+    flags = SYN if "a SYN without" in kind else ACK
+    if "SYN-ACK" in kind:
         flags = SYN | ACK
     echo = 0
-    if "made-up" in kind:
+    if "random" in kind:
         echo = 0xDEADBEEF
     target = next(iter(site.entries[0].site.targets))
-    if "another place" in kind:
-        echo = target.cookie(encode_destination(*OTHER_PLACE))
+    if "another address" in kind:
+        echo = target.cookie(encode_destination(*OTHER_ADDRESS))
     if "earlier start" in kind:
         earlier = Report(
             target.name, b"k" * 8, 0, target.service, "a", target.address, 2
@@ -140,25 +140,25 @@
     return packet + b"more" if "longer" in kind else packet
 
 
-@when("a packet comes that is {kind}")
+@when("an entry receives a packet that is {kind}")
 def step_packet(context, kind):
     site = context.direct
     entry = site.entries[0]
     context.sent = sent = []
     site.from_entry = lambda data, place: sent.append((data, place))
     entry.port._sock._send = lambda data, place: sent.append((data, place))
-    entry.receive(craft(site, kind))
+    entry.receive(make_packet(site, kind))
 
 
 @then("the entry answers with a reset")
 def step_reset(context):
     ((data, place),) = context.sent
     head = Head.unpack(data)
-    assert data[:4] == bytes(4), "the sum of a reset is 0"
+    assert data[:4] == bytes(4), "the checksum of a reset is 0"
     assert head.flags == RST and place == ("100.64.0.1", 6080)
     assert head.place_port == 4000
-    opening = head.seq == 0
-    assert opening or abs(head.seq - 1234) <= 76_800
+    is_for_syn = head.seq == 0
+    assert is_for_syn or abs(head.seq - 1234) <= 76_800
 
 
 @then("the entry answers with a drop for {reason}")
@@ -172,24 +172,24 @@
     assert all(place[1] != 8000 for _, place in context.sent)
 
 
-@when("a caller opens a flow, whose first answer takes {late_s:g} s")
+@when("a caller opens a flow whose first SYN-ACK takes {late_s:g} s")
 def step_late_answer(context, late_s):
     site = context.direct
     context.caller = caller = site.add_caller()
     slow = site.target("a0")
     send = slow.send
 
-    def later(packet):
-        is_opening = Head.unpack(packet).flags & SYN
-        site.clock.callLater(late_s if is_opening else 0, send, packet)
+    def send_late(packet):
+        is_syn = Head.unpack(packet).flags & SYN
+        site.clock.callLater(late_s if is_syn else 0, send, packet)
 
-    slow.send = later
-    # The other target is the less loaded one for the copy at 0.6 s.
+    slow.send = send_late
+    # The SYN retransmitted at 0.6 s goes to the other, less loaded target.
     caller.ask(b"one")
     site.run(3)
 
 
-@then("its request runs at one target, and no reset comes")
+@then("its request runs at one target, and its caller receives no reset")
 def step_one_run(context):
     runs = [len(t.runs) for t in context.direct.targets.values()]
     assert sum(runs) == 1, runs
@@ -234,7 +234,7 @@
     assert context.routes.version == version
 
 
-@when("{count:d} flows come to a table of {limit:d}")
+@when("{count:d} flows are added to a table for {limit:d}")
 def step_table(context, count, limit):
     context.flows = FlowTable(limit)
     report = Report("t", b"k" * 8, 1, "s", "a", ("10.0.0.1", 1), 2)
@@ -244,12 +244,12 @@
 
 
 @then("it holds the last {held:d} and has evicted {evicted:d}")
-def step_held(context, held, evicted):
+def step_evictions(context, held, evicted):
     assert len(context.flows) == held
     assert context.flows.evicted == evicted
     assert context.flows.get((299).to_bytes(12, "big")) is not None
 
 
-@then("no target is charged for more than it has")
-def step_charged(context):
+@then("the target counts only the flows in the table")
+def step_flow_count(context):
     assert context.target.flows == len(context.flows)
--- a/tests/features/steps/direct_suspicion_steps.py
+++ b/tests/features/steps/direct_suspicion_steps.py
@@ -12,25 +12,25 @@
     return [r for r in requests if r.outcome is Outcome.ANSWERED]
 
 
-@given("packets are lost with a share of {loss:g}")
+@given("packets are lost with probability {loss:g}")
 def step_loss(context, loss):
     context.direct.loss = loss
 
 
-@given("its entries suspect nobody")
-def step_nobody(context):
+@given("its entries suspect no target")
+def step_no_detection(context):
     old = failure_detector.FailureDetector.note_repeat
     failure_detector.FailureDetector.note_repeat = lambda self, flow, now: None
     context.add_cleanup(setattr, failure_detector.FailureDetector, "note_repeat", old)
 
 
-@when("the first target falls silent")
+@when("the first target stops answering")
 def step_silent(context):
     context.direct.target("a0").is_dark = True
     context.before = len(context.results)
 
 
-@when("every target falls silent")
+@when("every target stops answering")
 def step_all_silent(context):
     for target in context.direct.targets.values():
         target.is_dark = True
@@ -47,7 +47,7 @@
     context.direct.target("a0").is_dark = False
 
 
-@when("the first target takes {times:g} times as long")
+@when("the first target becomes {times:g} times slower")
 def step_slow(context, times):
     context.direct.target("a0").work_s *= times
     context.before = len(context.results)
@@ -63,17 +63,17 @@
     site = context.direct
     context.before = len(context.results)
     for entry in site.entries:
-        held = []
+        queued = []
         handle = entry.port.handle
-        entry.port.handle = lambda data, now, held=held: held.append(data)
+        entry.port.handle = lambda data, now, queued=queued: queued.append(data)
 
-        def resume(entry=entry, held=held, handle=handle):
+        def resume(entry=entry, queued=queued, handle=handle):
             entry.port.handle = handle
-            for data in held:
+            for data in queued:
                 handle(data, entry.port.now())
 
         site.clock.callLater(seconds + 0.5, resume)
-    # Requests go out during the pause, and are sent again.
+    # Requests sent during the pause are retransmitted.
     for caller in context.callers[:20]:
         site.clock.callLater(0.4, caller.ask, b"paused")
 
@@ -102,7 +102,7 @@
 
 
 @then("less than {share:g} of the later requests are answered")
-def step_less(context, share):
+def step_too_few_answered(context, share):
     later = context.results[context.before :]
     assert len(answered(later)) < share * len(later), len(answered(later))
 
@@ -114,8 +114,8 @@
     assert all(entry.port.resets == 0 for entry in context.direct.entries)
 
 
-@then("no entry suspects a target any more")
-def step_trusted(context):
+@then("no entry suspects a target")
+def step_none_suspected_now(context):
     for entry in context.direct.entries:
         left = [t.name for t in entry.site.targets if t.suspected]
         assert not left, left
@@ -127,8 +127,8 @@
     assert len(answered(last)) == count, [r for r in last if r not in answered(last)]
 
 
-@when("what the first entry sends is held up for {seconds:g} s")
-def step_held_up(context, seconds):
+@when("packets that the first entry sends are delayed by up to {seconds:g} s")
+def step_delayed(context, seconds):
     site = context.direct
     sock = site.entries[0].port._sock
     send, end = sock._send, site.clock.seconds() + seconds
@@ -141,7 +141,8 @@
 
 
 @when(
-    "the link of the first entry fills in {fill:g} s until packets wait for {wait:g} s"
+    "the link of the first entry fills up within {fill:g} s until packets are queued"
+    " for {wait:g} s"
 )
 def step_queue(context, fill, wait):
     site = context.direct
@@ -153,20 +154,20 @@
         nonlocal last_at
         now = site.clock.seconds()
         full = min(1.0, (now - start) / fill) if now - start < fill + 1.0 else 0.0
-        # Packets stay in order, also while the link empties.
+        # Packets stay in order, also while the queue drains.
         last_at = max(last_at, now + full * wait)
         site.clock.callLater(last_at - now, send, data, place)
 
     sock._send = queue
 
 
-@given("its entries tell each other of their suspicions")
+@given("its entries share their suspicions with each other")
 def step_share(context):
     site = context.direct
 
     def share():
         now = site.clock.seconds()
-        told = [
+        reports = [
             (
                 each,
                 each.steering.failure_detector.suspects(now),
@@ -175,36 +176,39 @@
             for each in site.entries
         ]
         for entry in site.entries:
-            hearing = entry.steering.failure_detector
-            for number, (other, suspects, telling) in enumerate(told):
+            receiving = entry.steering.failure_detector
+            for number, (other, suspects, reporting) in enumerate(reports):
                 if other is entry:
                     continue
                 for suspect in suspects:
-                    hearing.receive_suspect(suspect, f"entry-{number}", now)
-                for refutation in telling.refutations(now):
-                    hearing.receive_refutation(refutation, now)
+                    receiving.receive_suspect(suspect, f"entry-{number}", now)
+                for refutation in reporting.refutations(now):
+                    receiving.receive_refutation(refutation, now)
         site.clock.callLater(0.1, share)
 
     share()
 
 
-@when("what the first entry sends is lost for {seconds:g} s")
+@when("all packets that the first entry sends are lost for {seconds:g} s")
 def step_lost(context, seconds):
     step_partly_lost(context, 1.0, seconds)
 
 
-@when("a share of {share:g} of what the first entry sends is lost for {seconds:g} s")
+@when(
+    "a share of {share:g} of the packets that the first entry sends is lost for"
+    " {seconds:g} s"
+)
 def step_partly_lost(context, share, seconds):
     site = context.direct
     entry = site.entries[0]
     sock = entry.port._sock
     send = sock._send
 
-    def drop(data, place):
+    def send_some(data, place):
         if site.rng.random() >= share:
             send(data, place)
 
-    sock._send = drop
+    sock._send = send_some
 
     def heal():
         sock._send = send
@@ -212,8 +216,8 @@
     site.clock.callLater(seconds, heal)
 
 
-@when("for {seconds:g} s only flows of the other targets have packets")
-def step_others(context, seconds):
+@when("for {seconds:g} s only flows of the other targets carry packets")
+def step_other_flows_only(context, seconds):
     site = context.direct
     first = site.entries[0].site.targets.get("a0")
     flows = site.entries[0].steering.flows
@@ -230,8 +234,8 @@
         site.run(0.05, 0.005)
 
 
-@when("{count:d} other entries say that {flows:d} flows are stuck at the first target")
-def step_hearsay(context, count, flows):
+@when("{count:d} other entries report {flows:d} unanswered flows of the first target")
+def step_reported_by_others(context, count, flows):
     entry = context.direct.entries[0]
     target = entry.site.targets.get("a0")
     suspect = Suspect(target.name, target.incarnation, flows, 1.5)
@@ -240,7 +244,7 @@
         entry.steering.failure_detector.receive_suspect(suspect, f"entry-{number}", now)
 
 
-@when("after {seconds:g} s a flow of the first target has its next packet")
+@when("after {seconds:g} s a flow of the first target receives its next packet")
 def step_next_packet(context, seconds):
     site = context.direct
     context.busy[0].ask(b"others answer")
@@ -249,73 +253,74 @@
     site.run(0.1, 0.005)
 
 
-@then("that flow {fate}")
-def step_fate(context, fate):
+@then("that flow {outcome}")
+def step_flow_outcome(context, outcome):
     resets = context.idle.resets
-    assert resets == (1 if fate == "is reset" else 0), resets
+    assert resets == (1 if outcome == "is reset" else 0), resets
 
 
-@then("after its first answer it suspects no target")
+@then("after the first answer no target has complaints against it")
 def step_none_suspected(context):
     left = [t.name for t in context.direct.entries[0].site.targets if t.complaints]
     assert not left, left
 
 
 @when(
-    "{count:d} callers that try once send {per_s:g} requests a second for {seconds:g} s"
+    "{count:d} callers without retries send {per_s:g} requests a second for"
+    " {seconds:g} s"
 )
 def step_once(context, count, per_s, seconds):
     context.callers = [context.direct.add_caller(tries=1) for _ in range(count)]
     load(context.direct, context.callers, per_s, seconds)
 
 
-@when("{news} while {count:d} of its callers rest")
-def step_rest(context, news, count):
+@when("{event} while {count:d} of its callers are idle")
+def step_idle(context, event, count):
     site = context.direct
     silent = site.target("a0")
     sources = {ends[0] for ends in silent._flows}
     at_target = [c for c in context.callers if c._source in sources]
-    context.resting = at_target[:count]
-    if "list" in news:
+    context.idle_callers = at_target[:count]
+    if "list" in event:
         site.run(1.0, 0.01)
         site.unlist("a0")
         site.run(0.5, 0.01)
     else:
-        busy = [c for c in context.callers if c not in context.resting]
+        busy = [c for c in context.callers if c not in context.idle_callers]
         load(site, busy + at_target[count:], 60, 2)
-        # By now the platform has missed three heartbeats.
+        # After 2 s the platform has missed three heartbeats and drops the target.
         site.unlist("a0")
 
 
-@when("those callers send their next requests")
+@when("the idle callers send their next requests")
 def step_next_requests(context):
-    for caller in context.resting:
+    for caller in context.idle_callers:
         caller.ask(b"after the end")
     context.direct.run(1.0, 0.005)
 
 
-@then("all of these are answered, each within {limit:g} s")
+@then("all of these requests are answered, each within {limit:g} s")
 def step_each_within(context, limit):
-    last = [caller.requests[-1] for caller in context.resting]
+    last = [caller.requests[-1] for caller in context.idle_callers]
     bad = [r for r in last if r.outcome is not Outcome.ANSWERED or r.took_s > limit]
     assert last and not bad, bad[:3]
 
 
-@when("a caller closes a flow here after {seconds:g} s, of which only the opening came")
+@when("a caller closes a flow after {seconds:g} s of which this entry saw only the SYN")
 def step_open_and_close(context, seconds):
     site = context.direct
     context.since = site.clock.seconds()
     caller = site.add_caller()
     caller.ask(b"never opened")
     site.run(seconds, 0.01)
-    # Its other packets went through another entry, while the target lived.
+    # The flow's other packets passed through another entry while the target was up.
     ((_, flow),) = site.entries[0].steering.flows._flows.items()
     caller._echo = flow.target.cookie(encode_destination(*PLACE))
     caller._packet(FIN | ACK)
     site.run(0.1, 0.01)
 
 
-@then("no target has been seen to answer since")
+@then("no entry has seen a target answer since")
 def step_no_answer_seen(context):
     seen = [t.last_answer_at for t in context.direct.entries[0].site.targets]
     assert max(seen) <= context.since, seen
--- a/tests/features/steps/direct_troubles_steps.py
+++ b/tests/features/steps/direct_troubles_steps.py
@@ -10,9 +10,9 @@
 SECOND_PLACE = ("198.18.0.2", 443)
 
 
-@when("the first target leaves each {every:d}nd unanswered")
-@when("the first target leaves each {every:d}th unanswered")
-def step_mute(context, every):
+@when("the first target leaves every {every:d}nd request unanswered")
+@when("the first target leaves every {every:d}th request unanswered")
+def step_unanswered(context, every):
     context.direct.target("a0").mute_every = every
     context.before = len(context.results)
 
@@ -25,7 +25,7 @@
     context.before = len(context.results)
 
 
-@when("the first target is down and up, each {turn:g} s")
+@when("the first target is alternately down and up, for {turn:g} s")
 def step_flap(context, turn):
     site = context.direct
     target = site.target("a0")
@@ -34,7 +34,7 @@
     def flap():
         target.is_dark = not target.is_dark
         if target.is_dark:
-            # It has crashed, and holds nothing of before when it is back.
+            # It has crashed: after its restart it knows no earlier flow.
             target._flows.clear()
         site.clock.callLater(turn, flap)
 
@@ -52,14 +52,14 @@
     assert reset <= {"a0"}, reset
 
 
-@when("{count:d} callers come, each with one request, {per_s:g} a second")
+@when("{count:d} callers arrive, each with one request, {per_s:g} a second")
 def step_new_callers(context, count, per_s):
     site = context.direct
     opened = {t: len(t.openings) for t in site.targets.values()}
     for number in range(count):
         site.add_caller().ask(f"new-{number}".encode())
         for _ in range(round(1 / per_s / STEP_S)):
-            # The callers of before go on.
+            # Existing callers keep sending.
             site.clock.advance(STEP_S)
         busy = context.callers[number % len(context.callers)]
         if all(r.outcome is not None for r in busy.requests[-1:]):
@@ -68,12 +68,12 @@
     context.new = {t: len(t.openings) - opened[t] for t in site.targets.values()}
 
 
-@then("the first target gets at most {share:g} of an equal share of these")
-def step_less(context, share):
+@then("the first target gets at most {share:g} of an equal share of their flows")
+def step_smaller_share(context, share):
     equal = sum(context.new.values()) / len(context.new)
-    got = context.new[context.direct.target("a0")]
-    print(f"{got} flows, {equal:.1f} on average")
-    assert got <= share * equal, (got, equal)
+    opened = context.new[context.direct.target("a0")]
+    print(f"{opened} flows, {equal:.1f} on average")
+    assert opened <= share * equal, (opened, equal)
 
 
 @given("a second service with {count:d} targets of its own")
@@ -92,7 +92,8 @@
 
 
 @when(
-    "callers send {first:g} a second to the first service and {second:g} to the second"
+    "callers send {first:g} requests a second to the first service and {second:g} to"
+    " the second"
 )
 def step_two_loads(context, first, second):
     site = context.direct
@@ -111,12 +112,15 @@
                     caller.ask(f"n{sent[number]}".encode())
         site.run(STEP_S, 0.001)
     site.run(2.5, STEP_S)
-    context.light = min(loads, key=lambda load: load[0])[1]
+    context.less_loaded = min(loads, key=lambda load: load[0])[1]
 
 
-@then("those of the service with less load are answered, the slowest after {limit:g} s")
-def step_light(context, limit):
-    requests = [r for caller in context.light for r in caller.requests]
+@then(
+    "the requests of the service with less load are answered, the slowest after"
+    " {limit:g} s"
+)
+def step_less_loaded(context, limit):
+    requests = [r for caller in context.less_loaded for r in caller.requests]
     bad = [r for r in requests if r.outcome is not Outcome.ANSWERED]
     assert requests and not bad, bad[:3]
     slowest = max(r.took_s for r in requests)
--- a/tests/features/steps/domains_steps.py
+++ b/tests/features/steps/domains_steps.py
@@ -6,37 +6,37 @@
 from tests.support.site import DOMAINS, FEEDS, TILLS, Site
 
 NETWORKS = {
-    "a quiet network": {},
+    "a network without loss": {},
     "lost packets": {"loss": 0.02},
-    "with the naive version": {"engine": NaiveEngine},
+    "with the naive load balancer": {"engine": NaiveEngine},
 }
-EVERY_S = 2.5
+PACKET_INTERVAL_S = 2.5
 LIMIT_S = 3.0
 
 
-@given("domains with {count:d} flows, {network}")
+@given("domains with {count:d} open flows, {network}")
 def step_flows(context, count, network):
     context.site = Site(seed=5, jitter_s=0.001, **NETWORKS[network])
-    context.site.open(count, over_s=EVERY_S, every_s=EVERY_S)
+    context.site.open(count, over_s=PACKET_INTERVAL_S, every_s=PACKET_INTERVAL_S)
     net = context.site.net
     net.run(10)
-    # Unanswered flows are told from broken ones while no packet is lost.
-    lossy, net.loss = net.loss, 0.0
-    net.run(2 * EVERY_S)
+    # A lost packet looks like a broken flow, so loss starts after this check.
+    loss, net.loss = net.loss, 0.0
+    net.run(2 * PACKET_INTERVAL_S)
     assert context.site.broken() == []
-    net.loss = lossy
+    net.loss = loss
     context.relayed = []
-    context.site.net.relay_hooks.append(lambda *sent: note_relay(context, *sent))
+    context.site.net.relay_hooks.append(lambda *sent: record_relay(context, *sent))
 
 
-def note_relay(context, name, action):
+def record_relay(context, name, action):
     message = action.message
     if isinstance(message, Relay) and message.direction is Direction.TO_TARGET:
         domain = context.site.net.domain_of(action.peer)
         context.relayed.append((context.site.net.now, domain))
 
 
-def named(domains):
+def split_names(domains):
     return domains.split(", ")
 
 
@@ -44,10 +44,10 @@
     readers = sorted(site.net.watching)
     through_one = [n for n in readers if site.net.domain_of(n) != domain][:1]
     return {
-        "reaches all readers at once": {},
-        "reaches readers up to 2 s late": {"lag_s": 2.0},
-        "reaches its peers through one": {"readers": through_one},
-        "reaches readers twice, reordered": {"lag_s": 1.5, "times": 2},
+        "reaches all watching entries at once": {},
+        "reaches watching entries up to 2 s late": {"lag_s": 2.0},
+        "reaches one watching entry, outside the domain": {"readers": through_one},
+        "reaches watching entries twice, reordered": {"lag_s": 1.5, "times": 2},
     }[order]
 
 
@@ -55,25 +55,25 @@
 def step_out(context, domains, order):
     site = context.site
     context.out_at = site.net.now
-    context.out = named(domains)
+    context.out = split_names(domains)
     for domain in context.out:
         site.take_out(domain, **order_options(site, domain, order))
 
 
-@then("domains out get no packet from 3 s on, for 60 s")
+@then("the domains taken out receive no packet from 3 s on, for 60 s")
 def step_no_packet(context):
     site = context.site
     site.net.run(LIMIT_S + 60)
     since = context.out_at + LIMIT_S
     for domain in context.out:
-        assert site.packets_to(domain, context.out_at - 10), "no packet before"
+        assert site.packets_to(domain, context.out_at - 10), "no earlier packet"
         late = site.packets_to(domain, since)
         assert late == [], (domain, len(late), late[0][0] - context.out_at)
         relayed = [row for row in context.relayed if row[0] >= since]
         assert not any(to == domain for _, to in relayed), domain
 
 
-@then("domains in have no broken flow")
+@then("the other domains have no broken flow")
 def step_none_broken(context):
     context.site.net.loss = 0.0
     context.site.net.run(10)
@@ -81,35 +81,35 @@
     assert broken == [], (len(broken), broken[0])
 
 
-@then("domains out do get packets from 3 s on, or flows break")
+@then("the domains taken out receive packets from 3 s on, or flows break")
 def step_naive(context):
     site = context.site
     site.net.run(LIMIT_S + 20)
     late = site.packets_to("a", context.out_at + LIMIT_S)
-    print(f"naive: {len(late)} packets late, {len(site.broken())} flows broken")
+    print(f"naive: {len(late)} late packets, {len(site.broken())} flows broken")
     assert late or site.broken()
 
 
-@when("a domains entry of {domain} leaves, and {same} is taken out")
-def step_leaver_out(context, domain, same):
+@when("an entry of domain {domain} leaves, and {same} is taken out")
+def step_leave_and_take_out(context, domain, same):
     net = context.site.net
-    leaver = min(net.names_in({domain}))
-    net.leave(leaver, quiet_s=1e9)
+    leaving = min(net.names_in({domain}))
+    net.leave(leaving, quiet_s=1e9)
     net.run(2)
-    step_out(context, domain, "reaches all readers at once")
+    step_out(context, domain, "reaches all watching entries at once")
     net.run(LIMIT_S)
 
 
-@when("domains see {count:d} new flows")
+@when("callers open {count:d} new flows")
 def step_new_flows(context, count):
-    context.site.open(count, over_s=5.0, every_s=EVERY_S)
+    context.site.open(count, over_s=5.0, every_s=PACKET_INTERVAL_S)
 
 
 @when(
-    "domains {domain} are taken out and back {turns:d} times, {gap:g} s apart,"
+    "domain {domain} is taken out and back {turns:d} times, {gap:g} s apart,"
     " ending {end}"
 )
-def step_turns(context, domain, turns, gap, end):
+def step_out_and_back(context, domain, turns, gap, end):
     site = context.site
     for _ in range(turns):
         site.take_out(domain, lag_s=2.0)
@@ -120,41 +120,41 @@
         site.take_out(domain, lag_s=2.0)
 
 
-@then("domains all agree within 3 s that {domain} is {end}")
+@then("all entries agree within 3 s that domain {domain} is {end}")
 def step_agree(context, domain, end):
     context.site.net.run(LIMIT_S)
     for engine in context.site.net.engines.values():
         assert engine.node.store.domains[domain].state.value == end, engine.node.name
 
 
-@when("domains {domain} are brought back after {seconds:g} s")
+@when("domain {domain} is brought back after {seconds:g} s")
 def step_back(context, domain, seconds):
     context.site.net.run(seconds)
     context.site.bring_back(domain)
     context.site.net.run(LIMIT_S)
 
 
-def share_of(site, domain, seconds):
-    """Return a domain's share of new flows per target, 1 being an equal one."""
-    made = site.open(400, over_s=seconds, every_s=EVERY_S, service=TILLS)
+def relative_share(site, domain, seconds):
+    """Return a domain's new flows per target, relative to the mean of all targets."""
+    flows = site.open(400, over_s=seconds, every_s=PACKET_INTERVAL_S, service=TILLS)
     site.net.run(seconds + 1)
     targets = site.admitted(TILLS)
     hosts = {target.host for target in targets if target.domain == domain}
-    got = sum(flow.host in hosts for flow in made)
-    return got / len(made) * len(targets) / len(hosts)
+    got = sum(flow.host in hosts for flow in flows)
+    return got / len(flows) * len(targets) / len(hosts)
 
 
-@then("domains {domain} take less than half a share of new flows in the first 5 s")
+@then("domain {domain} gets less than half its share of new flows in the first 5 s")
 def step_cold(context, domain):
-    share = share_of(context.site, domain, 5.0)
+    share = relative_share(context.site, domain, 5.0)
     print(f"share in the first 5 s: {share:.2f}")
     assert share < 0.5, share
 
 
-@then("domains {domain} take a full share of new flows {seconds:d} s later")
+@then("domain {domain} gets a full share of new flows {seconds:d} s later")
 def step_full(context, domain, seconds):
     context.site.net.run(seconds - 10)
-    share = share_of(context.site, domain, 10.0)
+    share = relative_share(context.site, domain, 10.0)
     print(f"share {seconds} s later: {share:.2f}")
     assert share > 0.8, share
 
@@ -174,11 +174,11 @@
     net.run(1)
 
 
-@when("domains see {count:d} new {kind} flows on each side of the cut")
-def step_sides(context, count, kind):
+@when("callers open {count:d} new {kind} flows on each side of the cut")
+def step_new_flows_on_both_sides(context, count, kind):
     site = context.site
     service = {"TCP": FEEDS, "UDP": TILLS}[kind]
-    options = {"over_s": 10.0, "every_s": EVERY_S, "service": service}
+    options = {"over_s": 10.0, "every_s": PACKET_INTERVAL_S, "service": service}
     context.new = [
         flow
         for side in (context.inside, context.outside)
@@ -186,7 +186,7 @@
     ]
 
 
-@when("domains get an order to take {domain} out during the cut")
+@when("the platform orders to take domain {domain} out during the cut")
 def step_order(context, domain):
     net = context.site.net
     net.run(2)
@@ -194,7 +194,7 @@
     net.run(context.seconds - (net.now - context.cut_at))
 
 
-@then("domains serve the new flows on both sides")
+@then("the new flows are served on both sides")
 def step_served(context):
     site = context.site
     unserved = [flow for flow in context.new if not flow.answered_at]
@@ -204,7 +204,7 @@
         assert {site.targets[flow.host].domain for flow in inside} == {"a"}
 
 
-@then("domains after healing all agree within 3 s")
+@then("all entries agree within 3 s after the partition heals")
 def step_heal(context):
     net = context.site.net
     net.heal()
@@ -222,10 +222,10 @@
     assert len(digests) == 1
 
 
-@then("domains break no flow that was opened during the cut")
+@then("no flow that was opened during the cut breaks")
 def step_cut_unbroken(context):
     context.site.net.run(20)
     broken = context.site.broken(context.new)
     assert broken == [], (len(broken), broken[0])
     old = [flow for flow in context.site.broken() if flow not in context.new]
-    print(f"opened before the cut, packets on both sides: {len(old)} broken")
+    print(f"opened before the cut, packets on both sides: {len(old)} flows broken")
--- a/tests/features/steps/entry_steps.py
+++ b/tests/features/steps/entry_steps.py
@@ -13,7 +13,7 @@
 from tests.support.network import udp_packet
 
 LIMIT_S = 20
-KINDS = {"TCP": socket.SOCK_STREAM, "UDP": socket.SOCK_DGRAM}
+SOCKET_TYPES = {"TCP": socket.SOCK_STREAM, "UDP": socket.SOCK_DGRAM}
 SETTINGS = """[entry]
 name = e1
 domain = north-a
@@ -30,14 +30,14 @@
     context.extra = ""
 
 
-@given('the entry\'s settings say "{line}"')
-def step_extra(context, line):
+@given('the entry\'s settings contain "{line}"')
+def step_extra_line(context, line):
     context.extra = line
 
 
 @given("port {port:d} of {address} is taken over {protocol}")
 def step_port_taken(context, port, address, protocol):
-    holder = socket.socket(socket.AF_INET, KINDS[protocol])
+    holder = socket.socket(socket.AF_INET, SOCKET_TYPES[protocol])
     holder.bind((address, port))
     if protocol == "TCP":
         holder.listen()
@@ -56,8 +56,8 @@
     context.add_cleanup(context.process.kill)
 
 
-@when("the entry is told to end once its admin port answers")
-def step_end(context):
+@when("the entry receives SIGTERM once its admin port answers")
+def step_sigterm(context):
     wait_for_admin(context)
     context.process.send_signal(signal.SIGTERM)
 
@@ -79,21 +79,21 @@
     return True
 
 
-@then('the entry ends with status {status:d} and tells "{text}"')
-def step_ended(context, status, text):
-    _, told = context.process.communicate(timeout=LIMIT_S)
-    assert context.process.returncode == status, (context.process.returncode, told)
-    assert text in told, told
-    assert "Traceback" not in told, told
+@then('the entry exits with status {status:d} and logs "{text}"')
+def step_exited(context, status, text):
+    _, log = context.process.communicate(timeout=LIMIT_S)
+    assert context.process.returncode == status, (context.process.returncode, log)
+    assert text in log, log
+    assert "Traceback" not in log, log
 
 
-@given("an entry with a digest key, set up at {address}")
+@given("an entry's settings with a digest key at {address}")
 def step_settings_with_key(context, address):
     context.address = address
     context.extra = "[keys]\ncurrent = " + "ab" * 32
 
 
-@when("{count:d} datagrams of {kind} come to port {port:d} from {source}")
+@when("{count:d} datagrams of {kind} arrive at port {port:d} from {source}")
 def step_bad_datagrams(context, count, kind, port, source):
     wait_for_admin(context)
     good = udp_packet(b"\x0a\x00\x00\x02", 5000, b"\x0a\x00\x00\x01", 5683)
@@ -124,9 +124,9 @@
         time.sleep(0.2)
 
 
-@then("the entry ends with status 0 on SIGTERM, with at most {limit:d} lines")
-def step_ended_quietly(context, limit):
+@then("the entry exits with status 0 on SIGTERM, after logging at most {limit:d} lines")
+def step_exited_after_few_lines(context, limit):
     context.process.send_signal(signal.SIGTERM)
-    _, told = context.process.communicate(timeout=LIMIT_S)
-    assert context.process.returncode == 0, told
-    assert len(told.splitlines()) <= limit, told
+    _, log = context.process.communicate(timeout=LIMIT_S)
+    assert context.process.returncode == 0, log
+    assert len(log.splitlines()) <= limit, log
--- a/tests/features/steps/envelope_steps.py
+++ b/tests/features/steps/envelope_steps.py
@@ -1,4 +1,4 @@
-"""Contract of the envelope: what goes in comes out, and nothing else does."""
+"""Property tests of the envelope codec: round trips and malformed input."""
 
 from behave import then
 from hypothesis import given as given_values, settings, strategies as st
@@ -18,7 +18,7 @@
 U64 = st.integers(0, 2**64 - 1)
 NAMES = st.text(st.characters(codec="utf-8"), max_size=20)
 PATHS = st.lists(NAMES, max_size=9).map(tuple)
-# Births lie within the range that the signed column of differences can hold.
+# Birth times must fit the signed column of differences.
 BIRTHS_MS = st.integers(0, 2**62)
 RECORDS = st.builds(
     Record,
@@ -41,56 +41,56 @@
     U32,
 )
 BATCHES = st.builds(RecordBatch, st.lists(RECORDS, max_size=12).map(tuple))
-BEATS = st.builds(
+HEARTBEATS = st.builds(
     Heartbeat, NAMES, NAMES, U64, U64, st.sampled_from(EntryState), U64, NAMES, PATHS
 )
-MESSAGES = {"Relay": RELAYS, "RecordBatch": BATCHES, "Heartbeat": BEATS}
+MESSAGES = {"Relay": RELAYS, "RecordBatch": BATCHES, "Heartbeat": HEARTBEATS}
 ANY_MESSAGE = st.one_of(*MESSAGES.values())
 
 
 def grouped(batch):
-    """Return the records in the order in which columns carry them."""
+    """Return the batch with its records in the order of the encoded columns."""
     services = list(dict.fromkeys(record.service for record in batch.records))
     rows = sorted(batch.records, key=lambda record: services.index(record.service))
     return RecordBatch(tuple(rows))
 
 
-def sent(message):
-    """Return a message as its bytes, from the sender that it names."""
+def encoded(message):
+    """Return the bytes of a message, from the sender that it names."""
     return encode(getattr(message, "name", "e1"), message)
 
 
 @st.composite
 def flipped(draw):
-    """Return a message's bytes in which some bits differ."""
-    data = bytearray(sent(draw(ANY_MESSAGE)))
+    """Return the bytes of a message with some bits flipped."""
+    data = bytearray(encoded(draw(ANY_MESSAGE)))
     for _ in range(draw(st.integers(1, 8))):
         data[draw(st.integers(0, len(data) - 1))] ^= 1 << draw(st.integers(0, 7))
     return bytes(data)
 
 
 @st.composite
-def cut_short(draw):
-    """Return a message's first bytes."""
-    data = sent(draw(ANY_MESSAGE))
+def truncated(draw):
+    """Return the first bytes of a message."""
+    data = encoded(draw(ANY_MESSAGE))
     return data[: draw(st.integers(0, len(data)))]
 
 
 @st.composite
-def with_later_fields(draw):
+def with_unknown_fields(draw):
     """Return a message followed by a field that this version does not know."""
     number = draw(st.integers(5, 1000))
     value = draw(st.binary(max_size=60))
     tag = number << 3 | 2
     head = bytes([tag & 0x7F | 0x80, tag >> 7]) if tag > 0x7F else bytes([tag])
-    return sent(draw(ANY_MESSAGE)) + head + bytes([len(value)]) + value
+    return encoded(draw(ANY_MESSAGE)) + head + bytes([len(value)]) + value
 
 
 BYTES = {
     "random bytes": st.binary(max_size=300),
-    "messages cut short": cut_short(),
+    "truncated messages": truncated(),
     "messages with flipped bits": flipped(),
-    "messages of later fields": with_later_fields(),
+    "messages with unknown fields": with_unknown_fields(),
 }
 
 
@@ -112,7 +112,7 @@
 }
 
 
-@then("{number:d} generated messages of kind {kind} come back with their sender")
+@then("{number:d} generated messages of kind {kind} are decoded with their sender")
 def step_round_trip(context, number, kind):
     @settings(max_examples=number, deadline=None, derandomize=True, database=None)
     @given_values(NAMES, MESSAGES[kind])
@@ -124,8 +124,8 @@
     check()
 
 
-@then("{number:d} envelopes made of {kind} are read or refused as malformed")
-def step_garbage(context, number, kind):
+@then("{number:d} envelopes consisting of {kind} are read or refused as malformed")
+def step_malformed_bytes(context, number, kind):
     @settings(max_examples=number, deadline=None, derandomize=True, database=None)
     @given_values(BYTES[kind])
     def check(data):
@@ -133,7 +133,7 @@
             sender, message = decode(data)
         except MalformedEnvelopeError:
             return
-        # What was read is a message that can be sent again.
+        # What was decoded is a message that can be encoded again.
         assert decode(encode(sender, message))[0] == sender
 
     check()
@@ -142,7 +142,7 @@
 @then("the envelope of {kind} is refused as malformed")
 def step_refused(context, kind):
     try:
-        told = decode(ENVELOPES[kind].SerializeToString())
+        decoded = decode(ENVELOPES[kind].SerializeToString())
     except MalformedEnvelopeError:
         return
-    raise AssertionError(told)
+    raise AssertionError(decoded)
--- a/tests/features/steps/eventlog_steps.py
+++ b/tests/features/steps/eventlog_steps.py
@@ -23,19 +23,22 @@
     context.eventlog = EventLog(context.clock, "e1", flow_text, writing)
     context.reading = reading
     context.reads = reads == "reads"
-    context.told = b""
+    context.output = b""
 
 
 def read(context):
     try:
         while data := os.read(context.reading, 65536):
-            context.told += data
+            context.output += data
     except BlockingIOError:
         pass
-    return [json.loads(line) for line in context.told.splitlines()]
+    return [json.loads(line) for line in context.output.splitlines()]
 
 
-@when('{count:d} lines of "{event}" and 3 of "target suspected" come in a second')
+@when(
+    '{count:d} lines of "{event}" and 3 of "target suspected" are logged within a'
+    " second"
+)
 def step_flood(context, count, event):
     context.count = count
     for number in range(count):
@@ -53,20 +56,20 @@
     assert lines.count("target suspected") == 3
 
 
-@then('the next second begins with what was left out: {left:d} of "{event}"')
+@then('the next second begins with the number of omitted lines: {left:d} of "{event}"')
 def step_left_out(context, left, event):
     before = len(read(context))
     context.clock.advance(1)
     context.eventlog.emit(Event.READY)
-    told = read(context)[before:]
+    lines = read(context)[before:]
     if left:
-        assert told[0]["event"] == "lines left out", told
-        assert told[0]["counts"] == {event: left}, told
-    assert told[-1]["event"] == "ready"
+        assert lines[0]["event"] == "lines left out", lines
+        assert lines[0]["counts"] == {event: left}, lines
+    assert lines[-1]["event"] == "ready"
     context.event = event
 
 
-@then("the counters are whole")
+@then("the counters include the omitted lines")
 def step_counters(context):
     assert context.eventlog.counts[Event(context.event)] == context.count
 
@@ -86,24 +89,24 @@
     assert context.took_s < limit, context.took_s
 
 
-@then("the log holds no more than its bound, and counts what it left out")
-def step_bound(context):
+@then("the log buffers no more than its limit, and counts the lines left out")
+def step_buffer_limit(context):
     held = len(context.eventlog._buffer)
     assert held <= MAX_BUFFERED_BYTES + LINE_BYTES, held
     assert context.eventlog.lines_left_out > 0
 
 
-@when("a flow from {caller} to {place} is told of")
+@when("a flow from {caller} to {place} is logged")
 def step_flow(context, caller, place):
     host, port = caller.split(":")
-    at, at_port = place.split(":")
-    there = encode_destination(at, int(at_port))
-    here = encode_destination(host, int(port))
-    flow = there[4:] + here[:4] + here[4:] + there[:4]
+    service_host, service_port = place.split(":")
+    destination = encode_destination(service_host, int(service_port))
+    source = encode_destination(host, int(port))
+    flow = destination[4:] + source[:4] + source[4:] + destination[:4]
     context.eventlog.emit(Event.FLOW_OPENED, flow=flow, target="i-7")
 
 
-@then("its line has the flow as {flow}, and the time")
+@then("its line contains the flow as {flow}, and the time")
 def step_flow_line(context, flow):
     (line,) = read(context)
     assert line["flow"] == flow and line["entry"] == "e1"
--- a/tests/features/steps/explain_steps.py
+++ b/tests/features/steps/explain_steps.py
@@ -17,29 +17,29 @@
     return {"time": time, "uptime_s": time, "entry": "e1", "event": event, **fields}
 
 
-def story(name):
+def log_lines(case):
     opened = line(10.0, "flow opened", flow=FLOW, target="i-7", route="r1")
     suspected = line(12.0, "target suspected", target="i-7", silent_s=0.7)
 
     def ended(event, reason):
         return line(12.5, event, flow=FLOW, reason=reason)
 
-    stories = {
-        "the flow is reset for a silent target": [
+    cases = {
+        "the flow is reset because its target was silent": [
             opened,
             suspected,
             line(12.5, "flow reset", flow=FLOW, reason="target_silent", target="i-7"),
         ],
-        "the flow is reset for a target that has ended": [
+        "the flow is reset because its target has terminated": [
             opened,
             ended("flow reset", "target_gone"),
         ],
-        "the flow is refused for want of a target": [
+        "the flow is refused for lack of a target": [
             ended("flow refused", "no_target")
         ],
-        "the flow is refused for want of a route": [ended("flow refused", "no_route")],
-        "the target falls silent after the flow opened": [opened, suspected],
-        "the entry dies after the flow opened": [
+        "the flow is refused for lack of a route": [ended("flow refused", "no_route")],
+        "the target stops answering after the flow opened": [opened, suspected],
+        "the entry is killed after the flow opened": [
             line(1.0, "started"),
             opened,
             line(13.0, "started"),
@@ -48,25 +48,25 @@
             opened,
             ended("packet dropped", "unknown_cookie"),
         ],
-        "nothing more is told of the flow": [opened],
-        "lines had to be left out": [line(10.0, "lines left out", flow_opened=7)],
-        "other flows alone are told of": [
+        "the log has no further line of the flow": [opened],
+        "lines were omitted": [line(10.0, "lines left out", flow_opened=7)],
+        "the log has lines of other flows only": [
             line(10.0, "flow opened", flow="100.64.0.7:10311>198.18.0.1:443")
         ],
     }
-    return stories[name]
+    return cases[case]
 
 
-@given("a log in which {name}")
-def step_log(context, name):
-    context.log = [json.dumps(each) for each in story(name)]
+@given("a log in which {case}")
+def step_log(context, case):
+    context.log = [json.dumps(each) for each in log_lines(case)]
 
 
-@given("the log holds other text, broken lines and a collector's prefixes")
-def step_noise(context):
-    noise = ["hello", '{"time": 1', "{}", '{"time": "x", "entry": 1, "event": 2}', ""]
+@given("the log contains other text, malformed lines and prefixes of a log collector")
+def step_other_lines(context):
+    other = ["hello", '{"time": 1', "{}", '{"time": "x", "entry": 1, "event": 2}', ""]
     prefixed = [f"  43.1 edge-1 {each}" for each in context.log]
-    context.log = [*noise, *prefixed, '["not", "an", "object"]']
+    context.log = [*other, *prefixed, '["not", "an", "object"]']
 
 
 def explain(context, *args):
@@ -118,7 +118,7 @@
     assert cause.startswith("cause: ") and text in cause, context.out
 
 
-@then('kumquat-ctl explains nothing, and says "{text}"')
-def step_nothing(context, text):
+@then('kumquat-ctl exits with NOT_FOUND and says "{text}"')
+def step_not_found(context, text):
     assert context.status is ExitStatus.NOT_FOUND, context.status
     assert text in context.err, context.err
--- a/tests/features/steps/fabric_steps.py
+++ b/tests/features/steps/fabric_steps.py
@@ -47,17 +47,17 @@
 )
 
 
-@then("any datagram and any segment survive packing, and one wrong bit is seen")
+@then("any datagram and any segment survive packing, and one flipped bit is detected")
 def step_packing(context):
     @seed(1)
     @settings(max_examples=200, deadline=None, database=None)
     @any_of(datagrams | segments, st.integers(min_value=0))
-    def check(packet, place):
+    def check(packet, bit):
         data = bytearray(packet.pack())
         assert unpack(bytes(data)) == packet
-        place %= 8 * len(data)
-        data[place // 8] ^= 1 << place % 8
-        # A UDP checksum that turns to 0 says that there is none (RFC 768).
+        bit %= 8 * len(data)
+        data[bit // 8] ^= 1 << bit % 8
+        # A UDP checksum of 0 means that there is no checksum (RFC 768).
         assert unpack(bytes(data)) in (None, packet)
 
     check()
@@ -71,15 +71,15 @@
     return spray, sent, clock
 
 
-@given("a fabric that asks one entry")
+@given("a fabric that checks the readiness of one entry")
 def step_one_entry(context):
     context.spray, _, context.clock = make_spray(entries=1)
     context.answers = []
 
     def fetch(host):
-        asked = Deferred()
-        context.answers.append(asked)
-        return asked
+        answer = Deferred()
+        context.answers.append(answer)
+        return answer
 
     context.checks = ReadyChecks(context.spray, fetch, context.clock)
     context.checks.start()
@@ -88,45 +88,45 @@
 @when("the entry's answers are {answers}")
 def step_answers(context, answers):
     for answer in answers.replace("nothing yet", "").split():
-        asked = context.answers[-1]
+        pending = context.answers[-1]
         if answer == "miss":
-            asked.errback(ConnectionRefusedError())
+            pending.errback(ConnectionRefusedError())
         elif answer != "hang":
-            asked.callback(int(answer))
+            pending.callback(int(answer))
         context.clock.advance(0.5)
 
 
-@then("the fabric finds the entry {state}")
+@then("the fabric takes the entry to be {state}")
 def step_entry_state(context, state):
     assert context.spray.ready == (("e1",) if state == "ready" else ())
 
 
-@given("a spray over {entries:d} entries of which {ready:d} are ready")
+@given("a packet sprayer over {entries:d} entries of which {ready:d} are ready")
 def step_spray(context, entries, ready):
     context.spray, context.sent, context.clock = make_spray(entries=entries)
     for name in list(context.spray.entries)[:ready]:
         context.spray.set_ready(name, True)
 
 
-@given("a spray whose {fault} is certain")
+@given("a packet sprayer whose {fault} is certain")
 def step_faulty_spray(context, fault):
     faults = Faults(**{fault: 1.0})
     context.spray, context.sent, context.clock = make_spray(faults)
     context.spray.set_ready("e1", True)
 
 
-@when("{count:d} packets pass the spray")
+@when("{count:d} packets pass the sprayer")
 def step_pass(context, count):
     for _ in range(count):
         context.spray.pass_on("to-targets", b"packet")
 
 
-@when("one packet passes the spray")
+@when("one packet passes the sprayer")
 def step_pass_one(context):
     context.spray.pass_on("to-targets", b"packet")
 
 
-@then("each ready entry got {low:d} to {high:d} packets and the other got none")
+@then("each ready entry received {low:d} to {high:d} packets and the other got none")
 def step_spread(context, low, high):
     counts = {host: context.sent.count(host) for host in ENTRIES.values()}
     assert all(low <= counts[ENTRIES[name]] <= high for name in context.spray.ready)
@@ -154,7 +154,7 @@
     assert len(context.sent) == copies
 
 
-@then("the spray counts {count:d} packet without a ready entry")
+@then("the sprayer counts {count:d} packet without a ready entry")
 def step_no_ready(context, count):
     assert context.spray.counters["to-targets.no-ready-entry"] == count
 
@@ -175,14 +175,14 @@
 
 
 @given(
-    "a small site with {entries:d} entries whose fabric doubles and reorders packets"
+    "a small site with {entries:d} entries whose fabric duplicates and reorders packets"
 )
-def step_doubling_site(context, entries):
+def step_duplicating_site(context, entries):
     step_site(context, entries, duplicate=0.3, reorder=0.3)
 
 
 @given(
-    "a small site with {entries:d} entries whose fabric loses, doubles and reorders "
+    "a small site with {entries:d} entries whose fabric loses, duplicates and reorders "
     "packets"
 )
 def step_losing_site(context, entries):
@@ -191,12 +191,12 @@
 
 @when("an entry sends the fabric a packet that is {packet}")
 def step_bad_packet(context, packet):
-    elsewhere = Endpoint("127.12.9.99", 1)
+    unknown_endpoint = Endpoint("127.12.9.99", 1)
     data = {
         "malformed": b"\x45 not a packet",
         "empty": b"",
-        "not of a service": Datagram(elsewhere, CALLER, b"x").pack(),
-        "a stray segment": Segment(elsewhere, CALLER, 1, rst=True).pack(),
+        "not of a service": Datagram(unknown_endpoint, CALLER, b"x").pack(),
+        "a stray segment": Segment(unknown_endpoint, CALLER, 1, rst=True).pack(),
     }
     entry = context.site.entries[1]
     entry.receiver.transport.write(data[packet], (context.site.fabric_host, 6080))
@@ -222,7 +222,7 @@
     context.responses = result_of_coroutine(run(), 20)
 
 
-@then("each caller got the answer to its own request")
+@then("each caller received the answer to its own request")
 def step_own_answers(context):
     for number, response in enumerate(context.responses):
         answer = json.loads(response.payload)
@@ -245,12 +245,12 @@
     context.response = result_of_coroutine(send_coap(aiocoap.GET, uri))
 
 
-@then("the caller got all {size:d} bytes of its own")
-def step_got_big(context, size):
+@then("the caller received all {size:d} bytes of its own answer")
+def step_received_big(context, size):
     assert context.response.payload == big_payload("tills", "long", size)
 
 
-@when("a caller watches, and an entry dies and comes back meanwhile")
+@when("an entry is killed and restarted while a caller watches a resource")
 def step_watch(context):
     async def next_of(notifications, count):
         found = []
@@ -267,7 +267,7 @@
         await req.response
         return client, req, aiter(req.observation)
 
-    # Without a reference to the request, aiocoap lets the watch go.
+    # Without a reference to the request, aiocoap cancels the observation.
     client, context.req, notifications = result_of_coroutine(watch())
     context.notes = result_of_coroutine(next_of(notifications, 1))
     context.site.stop_entry(1)
@@ -280,7 +280,7 @@
 
 
 @then("the watch is still notified by the same target")
-def step_watch_stays(context):
+def step_watch_kept(context):
     assert len({note["target"] for note in context.notes}) == 1, context.notes
     order = [note["number"] for note in context.notes]
     assert order == sorted(order) and order[-1] > order[0], order
@@ -304,7 +304,7 @@
     context.answers = result_of(ensureDeferred(run()), 30)
 
 
-@then("the HTTP caller got all of it and its post ran once")
+@then("the HTTP caller received the whole answer and its post ran once")
 def step_http_whole(context):
     big, posted = context.answers
     assert big == big_payload("web", "long", context.size)
@@ -312,19 +312,19 @@
     assert context.site.targets["w1"].app.posts.runs == {"p1": 1}
 
 
-@when("an HTTP caller asks on one connection, and an entry dies in between")
-def step_http_survives(context):
+@when("an HTTP caller asks on one connection, and an entry is killed in between")
+def step_http_entry_killed(context):
     pool = HTTPConnectionPool(use_reactor(context))
 
-    def ask(ident):
-        asking = ensureDeferred(
+    def get(ident):
+        response = ensureDeferred(
             ask_web(pool, "GET", f"{context.site.web}/echo?id={ident}")
         )
-        return json.loads(result_of(asking, 20))
+        return json.loads(result_of(response, 20))
 
-    context.answers = [ask("a")]
+    context.answers = [get("a")]
     context.site.stop_entry(1)
-    context.answers.append(ask("b"))
+    context.answers.append(get("b"))
     result_of(pool.closeCachedConnections())
 
 
--- a/tests/features/steps/flows_steps.py
+++ b/tests/features/steps/flows_steps.py
@@ -10,17 +10,17 @@
 from tests.support.schedule import FLOWS, Schedule
 
 NETWORKS = {
-    "a quiet network": {},
+    "a network without loss": {},
     "lost packets": {"loss": 0.02, "jitter_s": 0.001},
     "reordered packets": {"jitter_s": 0.05},
 }
-SECONDS = 60
+DURATION_S = 60
 
 
 def run_both(context, pairs, seed, network):
     context.broken = {}
     for engine in (EntryEngine, NaiveEngine):
-        schedule = Schedule(engine, seed, pairs, SECONDS, **NETWORKS[network])
+        schedule = Schedule(engine, seed, pairs, DURATION_S, **NETWORKS[network])
         context.broken[engine] = schedule.run()
         kinds = [event[0] for event in schedule.events]
         print(
@@ -29,43 +29,42 @@
         )
 
 
-@when("flows run a schedule of single failures, seed {seed:d}, {network}")
+@when("flows run through a schedule of single failures, seed {seed:d}, {network}")
 def step_single(context, seed, network):
     run_both(context, False, seed, network)
 
 
-@when("flows run a schedule of failures in pairs, seed {seed:d}, {network}")
+@when("flows run through a schedule of failures in pairs, seed {seed:d}, {network}")
 def step_pairs(context, seed, network):
     run_both(context, True, seed, network)
 
 
-@then("flows broken are 0 with the engine, and more with the naive version")
+@then("the engine breaks 0 flows, and the naive load balancer breaks more")
 def step_none_broken(context):
     assert context.broken[EntryEngine] == 0, context.broken
     assert context.broken[NaiveEngine] > 0, context.broken
 
 
 @then(
-    "flows broken are at most 1 in 1,000 with the engine,"
-    " and more with the naive version"
+    "the engine breaks at most 1 flow in 1,000, and the naive load balancer breaks more"
 )
-def step_few_broken(context):
+def step_few_flows_broken(context):
     assert context.broken[EntryEngine] * 1000 <= FLOWS, context.broken
     assert context.broken[NaiveEngine] * 1000 > FLOWS, context.broken
 
 
-@when("flows with a packet a minute meet failures in pairs, without {mechanism}")
+@when("flows with one packet a minute meet failures in pairs, without {mechanism}")
 def step_without(context, mechanism):
-    off = {
-        "any mechanism off": nullcontext(),
+    patches = {
+        "any mechanism disabled": nullcontext(),
         "standbys": mock.patch.object(ring, "COPIES", 1),
-        "copies in the background": mock.patch.object(Sweeper, "step", lambda *_: []),
+        "background replication": mock.patch.object(Sweeper, "step", lambda *_: []),
     }
-    with off[mechanism]:
+    with patches[mechanism]:
         context.count = Schedule(EntryEngine, 1, True, 90, every_s=60.0).run()
-    print(f"without {mechanism}: {context.count} broken")
+    print(f"without {mechanism}: {context.count} flows broken")
 
 
-@then("flows broken are {bound} 1")
+@then("the number of broken flows is {bound} 1")
 def step_bound(context, bound):
     assert (context.count <= 1) == (bound == "at most"), context.count
