--- a/tests/support/authority.py
+++ b/tests/support/authority.py
@@ -1,4 +1,4 @@
-"""Makes certificate authorities and certificates for tests."""
+"""Create certificate authorities and certificates for tests."""
 
 from dataclasses import dataclass
 from datetime import UTC, datetime, timedelta
@@ -21,8 +21,8 @@
 
 
 @dataclass(frozen=True)
-class Issued:
-    """A certificate with its key."""
+class IssuedCertificate:
+    """A certificate with its private key."""
 
     certificate: x509.Certificate
     key: ec.EllipticCurvePrivateKey
@@ -34,18 +34,28 @@
         return self.key.private_bytes(Encoding.PEM, PrivateFormat.PKCS8, NoEncryption())
 
 
-def make_authority(name: str, parent: Issued | None = None) -> Issued:
+def make_authority(
+    name: str, parent: IssuedCertificate | None = None
+) -> IssuedCertificate:
     return _issue(name, parent, 30 * DAY, is_authority=True)
 
 
-def make_leaf(authority: Issued, address: str, left: timedelta = 10 * DAY) -> Issued:
-    return _issue("leaf", authority, left, address=address)
+def make_leaf(
+    authority: IssuedCertificate, address: str, lifetime: timedelta = 10 * DAY
+) -> IssuedCertificate:
+    return _issue("leaf", authority, lifetime, address=address)
 
 
 def write_files(
-    folder: str, authority: Issued, leaf: Issued, chain: tuple[Issued, ...] = ()
+    folder: str,
+    authority: IssuedCertificate,
+    leaf: IssuedCertificate,
+    chain: tuple[IssuedCertificate, ...] = (),
 ) -> TlsSection:
-    """Write one process's three files; return its settings."""
+    """Write the authority, certificate and key files of a process.
+
+    Returns the TLS settings that name them.
+    """
     paths = [str(Path(folder) / f"{id(leaf)}-{name}.pem") for name in ("a", "c", "k")]
     Path(paths[0]).write_bytes(authority.pem())
     Path(paths[1]).write_bytes(b"".join(each.pem() for each in (leaf, *chain)))
@@ -53,18 +63,20 @@
     return TlsSection(*paths)
 
 
-def _issue(name, issuer, left, address=None, is_authority=False) -> Issued:
+def _issue(
+    name, issuer, lifetime, address=None, is_authority=False
+) -> IssuedCertificate:
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, name)])
-    end = datetime.now(UTC) + left
+    expires_at = datetime.now(UTC) + lifetime
     builder = (
         x509.CertificateBuilder()
         .subject_name(subject)
         .issuer_name(issuer.certificate.subject if issuer else subject)
         .public_key(key.public_key())
         .serial_number(x509.random_serial_number())
-        .not_valid_before(min(end, datetime.now(UTC)) - DAY)
-        .not_valid_after(end)
+        .not_valid_before(min(expires_at, datetime.now(UTC)) - DAY)
+        .not_valid_after(expires_at)
         .add_extension(x509.BasicConstraints(is_authority, None), critical=True)
     )
     if address:
@@ -73,4 +85,4 @@
             x509.SubjectAlternativeName(names), critical=False
         )
     signer = issuer.key if issuer else key
-    return Issued(builder.sign(signer, SHA256()), key)
+    return IssuedCertificate(builder.sign(signer, SHA256()), key)
--- a/tests/support/direct_settings.py
+++ b/tests/support/direct_settings.py
@@ -1,4 +1,4 @@
-"""The settings file of an entry with direct return, for tests; whether it is ready."""
+"""Settings file and readiness check of a direct-return entry under test."""
 
 import urllib.error
 import urllib.request
@@ -30,7 +30,7 @@
 
 
 def is_ready(host: str, timeout_s: float) -> bool:
-    """Ask the entry at ``host``, as the platform's routers do."""
+    """Query readiness of the entry at ``host``, as the platform's routers do."""
     try:
         url = f"http://{host}:{READY_PORT}/api/ready"
         with urllib.request.urlopen(url, timeout=timeout_s) as answer:
--- a/tests/support/direct_site.py
+++ b/tests/support/direct_site.py
@@ -1,7 +1,8 @@
-"""A site with direct return under a paused clock: real entries, no sockets.
+"""Simulated site with direct return: real entry code, fake clock, no sockets.
 
-Entries are the real port, steering and site; targets and callers are the
-stand-ins' flow ends. Packets take a millisecond, and are lost as told.
+Entries use the real packet port, steering and site. Targets and callers are the
+flow endpoints of the stand-ins. A packet is delivered after one millisecond, or
+lost with the probability ``loss``.
 """
 
 import random
@@ -19,8 +20,8 @@
 from kumquatshift.platform.port import PacketPort
 from kumquatshift.standins.direct_flows import FlowCaller, FlowTarget, Head
 
-WAY_S = 0.001
-LOST_FLOWS_S = 0.1
+PACKET_DELAY_S = 0.001
+LOST_FLOWS_INTERVAL_S = 0.1
 STEP_S = 0.005
 PLACE = ("198.18.0.1", 443)
 SERVICE = "tills"
@@ -28,7 +29,7 @@
 
 
 class Recorder:
-    """Keeps events in place of a log."""
+    """Event sink that keeps events in memory."""
 
     def __init__(self):
         self.lines = []
@@ -43,8 +44,8 @@
         return next((inputs for each, inputs in self.lines if each is event), None)
 
 
-class NoSocket:
-    """Takes what a port sends."""
+class FakeSocket:
+    """Socket of a packet port that passes sent packets to a function."""
 
     def __init__(self, send):
         self._send = send
@@ -57,7 +58,7 @@
 
 
 class DirectEntry:
-    """One entry of the site."""
+    """One entry of the simulated site."""
 
     def __init__(self, net, domain, knows_all=True):
         self.events = Recorder()
@@ -70,16 +71,16 @@
             self.site.routes, self.site.targets, placement, self.events
         )
         self.steering.knows_all_routes = lambda now: knows_all
-        known_until = 0.0 if knows_all else float("-inf")
-        self.steering.targets_known_until = lambda now: now + known_until
+        offset_s = 0.0 if knows_all else float("-inf")
+        self.steering.targets_known_until = lambda now: now + offset_s
         self.is_up = True
-        sock = NoSocket(net.from_entry)
+        sock = FakeSocket(net.from_entry)
         self.port = PacketPort(net.clock, sock, self.steering, self.events)
         self._clock = net.clock
         self._end_lost_flows()
 
     def _end_lost_flows(self):
-        self._clock.callLater(LOST_FLOWS_S, self._end_lost_flows)
+        self._clock.callLater(LOST_FLOWS_INTERVAL_S, self._end_lost_flows)
         self.port.end_lost_flows()
 
     def receive(self, data):
@@ -88,7 +89,7 @@
 
 
 class DirectSite:
-    """Entries, targets and callers, and the ways between them."""
+    """Entries, targets and callers, and the network between them."""
 
     def __init__(self, seed=1):
         self.clock = Clock()
@@ -104,10 +105,12 @@
         self.cfg = None
         self.configure()
 
-    def configure(self, service=SERVICE, version=1, cold_per_s=0.0, places=(PLACE,)):
+    def configure(
+        self, service=SERVICE, version=1, cold_per_s=0.0, destinations=(PLACE,)
+    ):
         routes = tuple(
             Route(f"r{n}", encode_destination(*place), (Share(service, 1),))
-            for n, place in enumerate(places)
+            for n, place in enumerate(destinations)
         )
         limits = (ServiceLimits(service, cold_per_s, 2000),)
         self.cfg = Configuration(version, routes, 15.0, limits)
@@ -117,11 +120,11 @@
     def add_entry(self, domain, knows_all=True):
         entry = DirectEntry(self, domain, knows_all)
         self.entries.append(entry)
-        self.inform(entry)
+        self.apply_store_state(entry)
         return entry
 
-    def inform(self, entry):
-        """Tell an entry all that the store has."""
+    def apply_store_state(self, entry):
+        """Give an entry the current contents of the store."""
         entry.site.put_configuration(self.cfg, "test")
         now = self.clock.seconds()
         entry.site.list_targets(self.reports.values(), now)
@@ -143,7 +146,7 @@
         return target
 
     def unlist(self, name):
-        """Take a target off the store's list."""
+        """Remove a target from the store's list."""
         del self.reports[name]
         for entry in self.entries:
             entry.site.remove_target(name, self.clock.seconds())
@@ -156,13 +159,15 @@
     def target(self, name):
         return self.targets[self.reports[name].address]
 
-    def add_caller(self, entries=None, place=PLACE, **kinds):
-        """Add a caller whose packets come to one of ``entries``."""
+    def add_caller(self, entries=None, place=PLACE, **options):
+        """Add a caller whose packets are routed to one of ``entries``."""
         number = len(self.callers) + 1
         source = encode_destination(f"100.64.{number >> 8}.{number & 255}", 0)[:4]
         packed = encode_destination(*place)
-        ends = (source, 1000, packed[:4], place[1])
-        caller = FlowCaller(self.clock, ends, self._sender(entries), **kinds)
+        endpoints = (source, 1000, packed[:4], place[1])
+        caller = FlowCaller(
+            self.clock, endpoints, self._packet_sender(entries), **options
+        )
         self.callers[source] = caller
         return caller
 
@@ -170,14 +175,14 @@
         for _ in range(round(seconds / step_s)):
             self.clock.advance(step_s)
 
-    def _sender(self, entries):
+    def _packet_sender(self, entries):
         def send(data):
-            able = [e for e in entries or self.entries if e.is_up]
-            if able:
-                # The routers' hash over the entries in rotation.
-                head = Head.unpack(data)
-                number = head.source_port + sum(head.source)
-                self._carry(able[number % len(able)].receive, data)
+            running = [e for e in entries or self.entries if e.is_up]
+            if running:
+                # Routers hash each flow over the entries that are up.
+                header = Head.unpack(data)
+                number = header.source_port + sum(header.source)
+                self._deliver(running[number % len(running)].receive, data)
 
         return send
 
@@ -188,20 +193,23 @@
             return
         target = self.targets.get(place)
         if target is not None and target.domain not in self.cut:
-            self._carry(target.receive, data)
+            self._deliver(target.receive, data)
 
     def to_caller(self, data):
         caller = self.callers.get(Head.unpack(data).place)
         if caller is not None:
-            self._carry(caller.receive, data)
+            self._deliver(caller.receive, data)
 
-    def _carry(self, receive, data):
+    def _deliver(self, receive, data):
         if self.rng.random() >= self.loss:
-            self.clock.callLater(WAY_S, receive, data)
+            self.clock.callLater(PACKET_DELAY_S, receive, data)
 
 
 def load(site, callers, per_s, seconds):
-    """Let callers send requests in turn, ``per_s`` together; return them."""
+    """Send requests from the callers in turn and return the requests.
+
+    ``per_s`` is the rate of all callers together.
+    """
     start = {caller: len(caller.requests) for caller in callers}
     gap_s = 1 / per_s
     for number in range(round(seconds * per_s)):
--- a/tests/support/fake_entry.py
+++ b/tests/support/fake_entry.py
@@ -1,7 +1,7 @@
-"""A fake entry: it forwards each flow by a hash over the platform's targets.
+"""Fake entry that selects a target by a hash over the platform's targets.
 
-Started like the real one, with its settings file. It keeps no state but the
-list of objects, so it does not keep flows when that list changes.
+It is started with a settings file, like the real entry. It has no flow table, so
+flows may move to other targets when the list of objects changes.
 """
 
 import sys
@@ -26,7 +26,7 @@
 
 
 class FakeEntry:
-    """Forwards by rendezvous hash over the targets of domains that are in."""
+    """Forwards by rendezvous hashing over targets in domains that are in service."""
 
     def __init__(self, address, fabric, platform, reactor):
         self.address = address
@@ -54,21 +54,23 @@
 
     def poll(self):
         polling = defer.ensureDeferred(fetch_objects(self.platform, self.reactor))
-        return polling.addCallbacks(self.take_in, lambda _: None)
+        return polling.addCallbacks(self.apply_objects, lambda _: None)
 
-    def take_in(self, items):
-        bodies = {"service": {}, "target": {}, "domain": {}, "profile": {}}
+    def apply_objects(self, items):
+        objects_by_kind = {"service": {}, "target": {}, "domain": {}, "profile": {}}
         self.versions = {f"{it['kind']}/{it['name']}": it["version"] for it in items}
         for item in items:
-            bodies[item["kind"]][item["name"]] = item["body"]
-        out = {n for n, d in bodies["domain"].items() if d.get("state") == "out"}
+            objects_by_kind[item["kind"]][item["name"]] = item["body"]
+        evacuated = {
+            n for n, d in objects_by_kind["domain"].items() if d.get("state") == "out"
+        }
         self.targets = {
             f"{service['address']}:{service['port']}": [
                 (target["host"], target["port"])
-                for target in bodies["target"].values()
-                if target["service"] == name and target["domain"] not in out
+                for target in objects_by_kind["target"].values()
+                if target["service"] == name and target["domain"] not in evacuated
             ]
-            for name, service in bodies["service"].items()
+            for name, service in objects_by_kind["service"].items()
         }
 
     def receive(self, data, address):
@@ -81,12 +83,12 @@
             self.counters["returned"] += 1
             write(data, (self.fabric, PACKET_PORT))
             return
-        choices = self.targets.get(str(packet.dst), ())
-        if not choices:
+        candidates = self.targets.get(str(packet.dst), ())
+        if not candidates:
             self.counters["dropped"] += 1
             return
         self.counters["forwarded"] += 1
-        write(data, max(choices, key=lambda it: weight(packet.src, it)))
+        write(data, max(candidates, key=lambda it: weight(packet.src, it)))
 
 
 def main(path):
--- a/tests/support/fake_platform.py
+++ b/tests/support/fake_platform.py
@@ -1,4 +1,4 @@
-"""A platform in memory whose answers a test gives by hand."""
+"""In-memory platform whose answers are set by the test."""
 
 from returns.result import Failure as Failed, Success
 from twisted.internet.defer import Deferred, succeed
@@ -6,7 +6,7 @@
 from kumquatshift.errors import ErrorKind, Failure
 from kumquatshift.platform_port import Listing
 
-OUT = Failure(ErrorKind.UNAVAILABLE, "the platform is out of reach")
+UNREACHABLE = Failure(ErrorKind.UNAVAILABLE, "the platform is unreachable")
 
 
 class FakeWatch:
@@ -21,7 +21,11 @@
 
 
 class FakePlatform:
-    """Answers lists at once with ``listing``, unless told to hold or refuse them."""
+    """Answers list calls with ``listing``.
+
+    While ``holding`` is set, list calls stay open; while ``refusing`` is set, list
+    calls fail.
+    """
 
     def __init__(self, version=0):
         self.listing = Listing(version, ())
@@ -35,11 +39,11 @@
 
     def list_objects(self, kind=None):
         if self.holding:
-            self.held.append(Deferred(lambda fut: fut.callback(Failed(OUT))))
+            self.held.append(Deferred(lambda fut: fut.callback(Failed(UNREACHABLE))))
             return self.held[-1]
         if self.refusing:
             self.refused += 1
-            return succeed(Failed(OUT))
+            return succeed(Failed(UNREACHABLE))
         self.lists += 1
         return succeed(Success(self.listing))
 
@@ -48,4 +52,4 @@
         return self.watches[-1]
 
     def list_vms(self):
-        return succeed(Failed(OUT) if self.refusing else Success(self.vms))
+        return succeed(Failed(UNREACHABLE) if self.refusing else Success(self.vms))
--- a/tests/support/fake_source.py
+++ b/tests/support/fake_source.py
@@ -1,4 +1,4 @@
-"""What an admin port shows in tests, well or badly."""
+"""Fake data source for the admin port, which fails in states that a test selects."""
 
 FLOWS = [{"key": f"{number:032x}", "target": "t1"} for number in range(60_000)]
 
@@ -8,11 +8,11 @@
         self.state = state
 
     def ready(self):
-        self.fail_if_told()
+        self.raise_if_failing()
         return self.state != "not ready"
 
     def dump(self):
-        self.fail_if_told()
+        self.raise_if_failing()
         if self.state == "large":
             return {"name": "e1", "flows": FLOWS, "by_key": {"a": 1}, "none": []}
         if self.state == "breaking":
@@ -20,12 +20,12 @@
         return {"name": "e1"}
 
     def metrics(self):
-        self.fail_if_told()
+        self.raise_if_failing()
         return "kumquatshift_flows 2\n"
 
     def versions(self):
         return {"service/tills": 7}
 
-    def fail_if_told(self):
+    def raise_if_failing(self):
         if self.state == "failing":
             raise RuntimeError("Traceback")
--- a/tests/support/load.py
+++ b/tests/support/load.py
@@ -1,4 +1,4 @@
-"""Today's load on the control channel: tables filled directly, openings at a rate."""
+"""Production load on the control channel: prefilled flow tables, constant openings."""
 
 import random
 import struct
@@ -22,7 +22,7 @@
 
 
 class ControlLoad:
-    """A site that holds flows, with what its entries say to each other."""
+    """Site with full flow tables that counts the control traffic of its entries."""
 
     def __init__(self, seed=21, held=HELD_FLOWS, domains="aaabbccdd"):
         self.site = Site(seed=seed, domains=domains)
@@ -33,7 +33,7 @@
         self.net.count_bytes = True
 
     def _fill(self, held):
-        """Hold flows at their primary and standbys, as packets would place them."""
+        """Store records at primary and standbys, where packets would place them."""
         now = self.net.now
         ring = next(iter(self.net.engines.values())).node.members.ring
         by_name = {name: engine.node for name, engine in self.net.engines.items()}
@@ -51,7 +51,7 @@
                 flow.fully_replicated = True
 
     def run(self, seconds, new_per_s=NEW_PER_S):
-        """Let time pass; return bytes a second by entry and kind of message."""
+        """Run the site; return bytes per second by entry and message type."""
         self.net.wire_bytes.clear()
         for step in range(int(seconds * new_per_s)):
             self.net.at(step / new_per_s, self._open)
@@ -69,7 +69,7 @@
 
 
 def control_bytes_per_s(rates):
-    """Return the control bytes a second of the entry that sends the most."""
+    """Return the control bytes per second of the entry that sends the most."""
     return max(
         sum(kinds.get(kind, 0) for kind in CONTROL_KINDS) for kinds in rates.values()
     )
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,4 +1,4 @@
-"""A platform stand-in and fake entries on loopback, in a reactor on a thread."""
+"""Platform stand-in and fake entries on loopback, with the reactor in a thread."""
 
 import io
 import json
@@ -24,7 +24,7 @@
 
 
 def in_reactor(call, *args):
-    """Run a call in the reactor's thread and return what its Deferred gives."""
+    """Run a call in the reactor's thread and return the result of its Deferred."""
     if not reactor.running:
         ready = threading.Event()
         reactor.callWhenRunning(ready.set)
@@ -42,7 +42,11 @@
 
 
 class FakeEntry(Resource):
-    """The admin port of an entry; ``mode`` says how well it keeps up."""
+    """Admin port of an entry.
+
+    With the ``mode`` "silent" it never answers, and with "stuck" it keeps reporting the
+    first versions that it read.
+    """
 
     isLeaf = True  # noqa: N815
 
@@ -52,18 +56,18 @@
         self.domain = domain
         self.mode = mode
         self.store = store
-        self.held = {}
+        self.reported_versions = {}
 
     def render_GET(self, request):  # noqa: N802
         if self.mode == "silent":
             return NOT_DONE_YET
-        if self.mode != "stuck" or not self.held:
-            self.held = {
+        if self.mode != "stuck" or not self.reported_versions:
+            self.reported_versions = {
                 f"{kind}/{name}": obj["version"]
                 for (kind, name), obj in self.store.objects.items()
             }
         if request.path == b"/versions":
-            return json.dumps(self.held).encode()
+            return json.dumps(self.reported_versions).encode()
         return json.dumps(self.dump()).encode()
 
     def dump(self):
@@ -75,14 +79,14 @@
             "flows": {"held": 9, "primary": 4},
             "targets": {"t1": {"flows": 3, "sent": 30}, "t2": {"flows": 1, "sent": 10}},
             "members": [],
-            "versions": self.held,
+            "versions": self.reported_versions,
             "counters": {},
         }
 
 
 @dataclass
 class LoopbackSite:
-    """A running stand-in, its entries, and clients of it."""
+    """A running platform stand-in, its entries and its clients."""
 
     server: object
     url: str
@@ -104,10 +108,10 @@
         return self.server.api.store
 
     def add_entries(self, rows, context_for=lambda address: None):
-        """Start an entry for each (name, domain, mode), all on one port number.
+        """Start an entry for each (name, domain, mode), all on the same port number.
 
-        With ``context_for``, which gives the TLS context of an address, they take
-        HTTPS.
+        If ``context_for`` returns a TLS context for an entry's address, the entry
+        serves HTTPS.
         """
         entries = [FakeEntry(*row, self.store) for row in rows]
         self.context_for = context_for
@@ -125,7 +129,7 @@
                 for port in self.ports:
                     port.stopListening()
                 self.ports, self.admin_port = [], 0
-        raise AssertionError("no port number is free on all addresses")
+        raise AssertionError("found no port number that is free on all addresses")
 
     def _listen_once(self, entries):
         for number, entry in enumerate(entries, 1):
@@ -156,7 +160,7 @@
 
 @dataclass(frozen=True)
 class Ran:
-    """What one command answered."""
+    """Exit status and output of one command."""
 
     status: int
     out: str
@@ -164,7 +168,7 @@
 
 
 def run_ctl(site, line, settings="", stdin=""):
-    """Run a kumquat-ctl command line against a site, in this process."""
+    """Run a kumquat-ctl command line against a site in this process."""
     env = environment("anna", stdin)
     args = ["--platform", site.url, *line.split()]
     if settings:
--- a/tests/support/lossy.py
+++ b/tests/support/lossy.py
@@ -1,4 +1,4 @@
-"""Two ends of a TCP connection on a clock, joined by a link with faults."""
+"""Both endpoints of a TCP connection on a fake clock, joined by a lossy link."""
 
 import random
 from dataclasses import dataclass
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class LinkFaults:
-    """How likely each fault is; ``spread_s`` lets packets overtake each other."""
+    """Probability of each fault; `spread_s` above 0 reorders packets."""
 
     loss: float = 0.0
     duplicate: float = 0.0
@@ -26,7 +26,7 @@
 
 
 class Owner:
-    """Writes down what happens to its stream; may read slowly."""
+    """Stream owner that records events; reads slowly if ``is_slow``."""
 
     def __init__(self, chunks=(), is_slow=False):
         self.chunks = list(chunks)
@@ -60,7 +60,7 @@
 
 
 class Link:
-    """A caller and a service, and the link that carries their packets."""
+    """A caller, a service and the link between them."""
 
     def __init__(self, faults, caller, service):
         self.clock = Clock()
@@ -69,29 +69,29 @@
         self.is_cut = False
         self.most_held = 0
         self.caller, self.service = caller, service
-        self.near = StreamTable(self.clock, lambda seg: self.carry(seg, self.far))
+        self.near = StreamTable(self.clock, lambda seg: self.transmit(seg, self.far))
         self.far = StreamTable(
-            self.clock, lambda seg: self.carry(seg, self.near), lambda: service
+            self.clock, lambda seg: self.transmit(seg, self.near), lambda: service
         )
 
     def open(self):
         self.caller.attach(self.near.connect(CALLER, SERVICE, self.caller))
 
-    def carry(self, segment, table):
+    def transmit(self, segment, table):
         packet = segment.pack()
         copies = 1 + (self.rng.random() < self.faults.duplicate)
         for _ in range(copies):
             if self.is_cut or self.rng.random() < self.faults.loss:
                 continue
             delay_s = DELAY_S + self.faults.spread_s * self.rng.random()
-            self.clock.callLater(delay_s, self.arrive, packet, table)
+            self.clock.callLater(delay_s, self.deliver, packet, table)
 
     @staticmethod
-    def arrive(packet, table):
+    def deliver(packet, table):
         table.receive(unpack(packet))
 
     def run(self, limit_s):
-        """Let time pass until both ends are over, or for ``limit_s``."""
+        """Advance the clock until both endpoints are closed, at most ``limit_s``."""
         for _ in range(round(limit_s / STEP_S)):
             self.clock.advance(STEP_S)
             for owner in (self.caller, self.service):
--- a/tests/support/naive.py
+++ b/tests/support/naive.py
@@ -1,4 +1,4 @@
-"""The naive version: hash each flow over the target list, keep an own table."""
+"""Naive baseline: hash new flows over the target list, keep a local flow table."""
 
 import xxhash
 
@@ -9,11 +9,14 @@
 
 
 class NaiveEngine(EntryEngine):
-    """An entry that asks no other one: only its packet decisions differ."""
+    """Entry engine that selects targets without its peers.
+
+    Only its packet decisions differ from those of `EntryEngine`.
+    """
 
     def __init__(self, *args):
         super().__init__(*args)
-        self._table = {}
+        self._targets_by_flow = {}
 
     def packet(self, data):
         assert check(data) is None
@@ -21,13 +24,13 @@
         if view is None:
             return [SendCaller(data)]
         key = flow_key(data)
-        name = self._table.get(key)
+        name = self._targets_by_flow.get(key)
         target = view.targets.get(name)
         if target is None:
-            target = self._hashed(view, key)
-            self._table[key] = target.name
+            target = self._select_target(view, key)
+            self._targets_by_flow[key] = target.name
         return [SendTarget(target.host, target.port, data)]
 
-    def _hashed(self, view, key):
+    def _select_target(self, view, key):
         targets = sorted(admitted(view), key=lambda target: target.name)
         return targets[xxhash.xxh32_intdigest(key) % len(targets)]
--- a/tests/support/network.py
+++ b/tests/support/network.py
@@ -1,7 +1,7 @@
-"""A small fake of the network between entries, fabric and targets.
+"""Simulated network between entries, fabric and targets.
 
-The entries are the real engines under one paused clock; the fake only carries
-what they ask for, late, lost, or not at all.
+The entries are real engines that share one fake clock. The simulation executes the
+actions that they return, and delays, loses or duplicates messages.
 """
 
 import heapq
@@ -26,26 +26,26 @@
 from kumquatshift.engine.objects import Domain, DomainState, Kind, Versioned
 
 ONE_WAY_S = 0.0005
-# UDP and IP header, and the digest that proves the sender.
+# UDP and IP headers, and the digest that authenticates the sender.
 DATAGRAM_BYTES = 44
 EPOCH_S = 1_000_000.0
 
 
 def udp_packet(src, sport, dst, dport, payload=b"x", protocol=17, flags=0x10):
-    """Return an IPv4 packet; addresses are four bytes each."""
+    """Return an IPv4 packet; ``src`` and ``dst`` are four bytes each."""
     if protocol == 17:
         segment = struct.pack("!HHHH", sport, dport, 8 + len(payload), 0) + payload
     else:
         segment = struct.pack("!HHIIBBHHH", sport, dport, 7, 9, 0x50, flags, 99, 0, 0)
         segment += payload
-    head = struct.pack(
+    header = struct.pack(
         "!BBHHHBBH4s4s", 0x45, 0, 20 + len(segment), 0, 0, 64, protocol, 0, src, dst
     )
-    return head + segment
+    return header + segment
 
 
 class FakeNetwork:
-    """Entries e1.. in domains, carried over a fake network."""
+    """Entries e1, e2, ... in the given domains, joined by a simulated network."""
 
     engine_class = EntryEngine
 
@@ -62,7 +62,7 @@
         self.engines = {}
         self.paused = set()
         self.cuts = set()
-        self.unplugged_readers = set()
+        self.disconnected_readers = set()
         self.published = {}
         self.version = 0
         self.to_targets = []
@@ -94,7 +94,7 @@
         return self.clock.seconds()
 
     def start(self, name):
-        """Start an entry with nothing but its settings."""
+        """Start an entry that has only its settings."""
         self.cfg = EntryConfig(self.vm(name), tuple(self.vms))
         engine = self.engine_class.from_config(
             self.cfg,
@@ -107,7 +107,7 @@
         return engine
 
     def kill(self, name):
-        """End an entry without a word."""
+        """Stop an entry abruptly; its peers are not notified."""
         self.engines.pop(name, None)
         self.watching.discard(name)
         self.paused.discard(name)
@@ -119,9 +119,9 @@
         self.paused.discard(name)
 
     def leave(self, name, quiet_s=1.0):
-        """Let an entry leave in good order; it ends once it is drained."""
+        """Make an entry leave gracefully; it stops once it is drained."""
         engine = self.engines[name]
-        self._carry_out(name, engine.leave())
+        self._execute(name, engine.leave())
         self._end_when_drained(name, engine, quiet_s)
 
     def _end_when_drained(self, name, engine, quiet_s):
@@ -136,14 +136,14 @@
         return {vm.name for vm in self.vms if vm.domain in domains}
 
     def cut_off(self, domains):
-        """Lose everything between the entries of some domains and the others."""
+        """Drop all messages between the entries of some domains and all others."""
         inside = self.names_in(domains)
         outside = {vm.name for vm in self.vms} - inside
         self.cut(inside, outside)
         self.cut(outside, inside)
 
     def cut(self, some, others):
-        """Lose everything from `some` to `others`, one way."""
+        """Drop all messages from ``some`` to ``others``, in this direction only."""
         self.cuts |= set(itertools.product(some, others))
 
     def heal(self):
@@ -156,17 +156,17 @@
         self.platform_up = False
 
     def bring_platform_up(self):
-        """Answer again; every reader takes its watch up and lists what it missed."""
+        """Answer again; every reader resumes its watch and lists the objects."""
         self.platform_up = True
         for name in sorted(self.watching):
             self._list_objects(name)
 
     def unplug(self, names):
-        """Cut entries off from the platform."""
-        self.unplugged_readers |= set(names)
+        """Disconnect entries from the platform."""
+        self.disconnected_readers |= set(names)
 
     def plug_in(self, names):
-        self.unplugged_readers -= set(names)
+        self.disconnected_readers -= set(names)
         for name in sorted(self.watching & set(names)):
             self._list_objects(name)
 
@@ -174,9 +174,10 @@
         return self.publish(kind, name, None, **options)
 
     def publish(self, kind, name, body, lag_s=0.0, readers=None, times=1):
-        """Write an object to the platform; readers hear of it after a lag.
+        """Write an object to the platform; readers receive it after a random lag.
 
-        Each hears of it as many `times` as told, at times of its own.
+        Each reader receives it ``times`` times, each time after a lag of its own of
+        up to ``lag_s``.
         """
         self.version += 1
         old = self.published.get((kind, name))
@@ -201,7 +202,7 @@
         heapq.heappush(self._queue, entry)
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the clock and handle what is due."""
         end = self.now + seconds
         while True:
             due = min(self._next_tick.items(), key=lambda item: item[1])
@@ -210,20 +211,20 @@
                 break
             if upcoming <= due[1]:
                 when, _, call, args = heapq.heappop(self._queue)
-                self._move_to(when)
+                self._advance_to(when)
                 call(*args)
             else:
-                self._move_to(due[1])
+                self._advance_to(due[1])
                 self._tick(due[0])
-        self._move_to(end)
+        self._advance_to(end)
 
     def run_until_ready(self, limit_s=30):
-        """Let time pass until every entry takes part."""
+        """Advance the clock until every entry is ready."""
         for _ in range(limit_s * 4):
             self.run(0.25)
             if all(engine.ready for engine in self.engines.values()):
                 return
-        raise AssertionError("entries did not become ready")
+        raise AssertionError(f"entries not ready within {limit_s} s")
 
     def ready_names(self):
         return sorted(
@@ -233,7 +234,7 @@
         )
 
     def spray(self, data, names=None):
-        """Hand a packet to a random entry, as the fabric does."""
+        """Deliver a packet to a random entry, as the fabric does."""
         names = names or self._fabric_names()
         if not names:
             return
@@ -241,36 +242,36 @@
         self.at(ONE_WAY_S, self._deliver_packet, name, data)
 
     def _fabric_names(self):
-        """Return the entries that the fabric takes for ready; it may lag."""
+        """Return the entries that the fabric considers ready; the list may lag."""
         since, names = self._fabric_view
         if self.now - since >= self.fabric_lag_s:
             names = self.ready_names()
             self._fabric_view = (self.now, names)
         return names
 
-    def _move_to(self, when):
+    def _advance_to(self, when):
         if when > self.now:
             self.clock.advance(when - self.now)
 
     def _tick(self, name):
         self._next_tick[name] = self.now + entry_module.TICK_S
         if name in self.engines and name not in self.paused:
-            self._carry_out(name, self.engines[name].tick())
+            self._execute(name, self.engines[name].tick())
 
     def _running(self, name):
         return name in self.engines and name not in self.paused
 
     def _deliver_packet(self, name, data):
         if self._running(name):
-            self._carry_out(name, self.engines[name].packet(data))
+            self._execute(name, self.engines[name].packet(data))
 
     def _deliver_objects(self, name, objects):
-        if self._running(name) and name not in self.unplugged_readers:
-            self._carry_out(name, self.engines[name].objects(objects))
+        if self._running(name) and name not in self.disconnected_readers:
+            self._execute(name, self.engines[name].objects(objects))
 
     def _deliver_message(self, peer, name, message):
         if self._running(name) and (peer, name) not in self.cuts:
-            self._carry_out(name, self.engines[name].message(peer, message))
+            self._execute(name, self.engines[name].message(peer, message))
 
     def _sync(self, name, peer):
         both = (name, peer), (peer, name)
@@ -280,9 +281,9 @@
             return
         digests = self.engines[name].node.store.bucket_digests()
         objects = self.engines[peer].config_since(digests)
-        self._carry_out(name, self.engines[name].objects(objects))
+        self._execute(name, self.engines[name].objects(objects))
 
-    def _carry_out(self, name, actions):
+    def _execute(self, name, actions):
         for action in actions:
             if isinstance(action, SendPeer):
                 self._send_peer(name, action)
@@ -305,7 +306,7 @@
         self._list_objects(name)
 
     def _list_objects(self, name):
-        """Answer a listing; a stale one ends at an earlier version."""
+        """Answer a list call, with objects up to ``stale_version`` if it is set."""
         if not self.platform_up:
             return
         last = self.version if self.stale_version is None else self.stale_version
--- a/tests/support/news_domain.py
+++ b/tests/support/news_domain.py
@@ -1,7 +1,8 @@
-"""A domain of entries that follow each other's news, under a paused clock.
+"""Simulated domain of entries that share store updates, on a fake clock.
 
-Feeds, members and news are the real ones. The store is the stand-in's; calls
-are answered after a few milliseconds, or fail as told. Heartbeats may be lost.
+Feeds, members and peer updates use the real code, the store is the stand-in. Calls
+are answered after 4 ms, or fail as the test selects. Heartbeats are lost with the
+probability ``loss``.
 """
 
 import random
@@ -30,12 +31,12 @@
 from tests.support.direct_site import Recorder
 
 KIND = "servers"
-WAY_S = 0.004
+CALL_DELAY_S = 0.004
 STEP_S = 0.01
 
 
-class Known:
-    """Takes in what a feed brings."""
+class RecordingListener:
+    """Feed listener that records the objects and the losses of the store."""
 
     def __init__(self, node):
         self.node = node
@@ -46,7 +47,7 @@
     def handle_list(self, items, after_loss, now):
         self.losses += after_loss
         self.values = {item.name: item.value for item in items}
-        self.node.note()
+        self.node.announce_changes()
 
     def handle_change(self, change, now):
         name, value = change.item.name, change.item.value
@@ -55,14 +56,14 @@
         else:
             self.reverted |= self.values.get(name, -1) > value
             self.values[name] = value
-        self.node.note()
+        self.node.announce_changes()
 
     def handle_store_loss(self, now):
         self.losses += 1
 
 
 class Node:
-    """One entry: its feed, and the driver that makes its calls."""
+    """One entry: its feed and the driver of its calls."""
 
     def __init__(self, domain, name):
         self.domain = domain
@@ -71,7 +72,7 @@
         number = len(domain.nodes) + 1
         self.me = Member(name, "north-a", ("10.0.0.1", number))
         self.members = Members(self.me, (), self.events)
-        self.known = Known(self)
+        self.known = RecordingListener(self)
         timing = domain.timing
         self.feed = Feed(KIND, timing, self.known, self.events)
         self.feed.follow(self.members, PeerSelector(KIND, timing.fresh_s, self.members))
@@ -82,42 +83,42 @@
         self.calls = []
         self.long_answers = []
         self.transfer_limiter = TransferLimiter(domain.link_bytes_per_s)
-        self._beat = None
-        self._told = None
+        self._heartbeat_timer = None
+        self._announced = None
         self.clock.callLater(0, self._call)
         self._send()
 
-    def note(self):
-        """Tell the others at once that something is new."""
-        if self.feed.changed != self._told:
-            self._told = self.feed.changed
-            if self._beat.active():
-                self._beat.cancel()
-            self._beat = self.clock.callLater(0.01, self._send)
+    def announce_changes(self):
+        """Send a heartbeat to the peers early if the feed has changed."""
+        if self.feed.changed != self._announced:
+            self._announced = self.feed.changed
+            if self._heartbeat_timer.active():
+                self._heartbeat_timer.cancel()
+            self._heartbeat_timer = self.clock.callLater(0.01, self._send)
 
     def _send(self):
         if not self.is_up:
             return
         if self.is_paused:
-            self._beat = self.clock.callLater(0.1, self._send)
+            self._heartbeat_timer = self.clock.callLater(0.1, self._send)
             return
         now = self.clock.seconds()
         self.members.expire(now)
         status = self.feed.status(now)
         statuses = (status,) if status else ()
         reaches = self.feed.reaches_store(now)
-        beat = PeerHeartbeat(*self.me, 1, False, reaches, statuses, (), ())
+        heartbeat = PeerHeartbeat(*self.me, 1, False, reaches, statuses, (), ())
         for other in self.domain.nodes:
             if other is not self and not self.domain.rng.random() < self.domain.loss:
-                self.clock.callLater(0.001, other.receive_heartbeat, beat)
+                self.clock.callLater(0.001, other.receive_heartbeat, heartbeat)
         wait_s = (
             READER_HEARTBEAT_INTERVAL_S if self.feed.is_reader else HEARTBEAT_INTERVAL_S
         )
-        self._beat = self.clock.callLater(wait_s, self._send)
+        self._heartbeat_timer = self.clock.callLater(wait_s, self._send)
 
-    def receive_heartbeat(self, beat):
+    def receive_heartbeat(self, heartbeat):
         if self.is_up and not self.is_paused:
-            self.members.receive_heartbeat(beat, self.clock.seconds())
+            self.members.receive_heartbeat(heartbeat, self.clock.seconds())
 
     def _call(self):
         if not self.is_up:
@@ -130,27 +131,27 @@
         if call is None:
             self.clock.callLater(0.1, self._call)
         elif isinstance(call, PeerUpdateCall):
-            self._ask(call)
+            self._request_update(call)
         else:
-            self._to_store(call)
+            self._call_store(call)
 
-    def _ask(self, call):
+    def _request_update(self, call):
         peer = next(n for n in self.domain.nodes if n.me.address == call.address)
         self.domain.news_calls += 1
         now = self.clock.seconds()
-        news = peer.feed.updates_since(call.since, now) if peer.is_up else None
-        if news is None:
+        update = peer.feed.updates_since(call.since, now) if peer.is_up else None
+        if update is None:
             self._finish(self.feed.handle_peer_failure, Failure.BROKEN, "closed")
             return
         if not peer.transfer_limiter.admits(self.domain.answer_bytes, now):
             self._finish(self.feed.handle_peer_busy)
             return
         peer.long_answers.append(now)
-        if news.is_snapshot:
+        if update.is_snapshot:
             self.domain.whole_news += 1
-        self._finish(self.feed.handle_peer_update, news)
+        self._finish(self.feed.handle_peer_update, update)
 
-    def _to_store(self, call):
+    def _call_store(self, call):
         now = self.clock.seconds()
         self.calls.append((now, call))
         trouble = self.turned_away or self.domain.trouble
@@ -170,7 +171,7 @@
         if not self.is_up:
             return
         if self.turned_away or self.domain.trouble:
-            # An open watch hears nothing more, and ends with its time-out.
+            # An open watch receives nothing more and ends by its time-out.
             self._fail_later(until - self.clock.seconds() + WATCH_GRACE_S)
             return
         store = self.domain.store
@@ -186,17 +187,17 @@
             after_s, self._finish, self.feed.handle_failure, Failure.TIMEOUT, "late"
         )
 
-    def _finish(self, take, *args):
+    def _finish(self, handler, *args):
         def finish():
             if self.is_up:
-                take(*args, self.clock.seconds())
+                handler(*args, self.clock.seconds())
                 self.clock.callLater(self.feed.wait_s(self.clock.seconds()), self._call)
 
-        self.clock.callLater(WAY_S, finish)
+        self.clock.callLater(CALL_DELAY_S, finish)
 
 
 class NewsDomain:
-    """All entries of one failure domain, and the store."""
+    """All entries of one failure domain and their store."""
 
     def __init__(self, timing=None, seed=3):
         self.clock = Clock()
@@ -224,15 +225,15 @@
         return [node for node in self.nodes if node.is_up and node.feed.is_reader]
 
     def until_known(self, name, value, nodes, limit_s):
-        """Run until all nodes know; return after how long."""
-        begin = self.clock.seconds()
+        """Run until all nodes have the value; return how long that took in seconds."""
+        started_at = self.clock.seconds()
         while any(node.known.values.get(name) != value for node in nodes):
-            took_s = self.clock.seconds() - begin
+            took_s = self.clock.seconds() - started_at
             assert took_s < limit_s, [
                 n.me.name for n in nodes if n.known.values.get(name) != value
             ]
             self.run(STEP_S)
-        return self.clock.seconds() - begin
+        return self.clock.seconds() - started_at
 
 
 def _item(obj):
--- a/tests/support/request_schedules.py
+++ b/tests/support/request_schedules.py
@@ -6,18 +6,18 @@
 from kumquatshift.measures.request_schedules import Event, Round, Schedule
 
 
-def calls(call, *values):
+def fault_events(call, *values):
     args = st.tuples(*(st.sampled_from(each) for each in values))
     return st.builds(Event, st.sampled_from(schedules.PAUSES_S), st.just(call), args)
 
 
 EVENTS = st.one_of(
-    calls("restart", schedules.NODES),
-    calls("kill", schedules.NODES),
-    calls("start", schedules.NODES),
-    calls("cut", schedules.ENTRIES, schedules.NODES),
-    calls("heal"),
-    calls("restart_targets"),
+    fault_events("restart", schedules.NODES),
+    fault_events("kill", schedules.NODES),
+    fault_events("start", schedules.NODES),
+    fault_events("cut", schedules.ENTRIES, schedules.NODES),
+    fault_events("heal"),
+    fault_events("restart_targets"),
     st.builds(
         Event,
         st.sampled_from(schedules.PAUSES_S),
--- a/tests/support/schedule.py
+++ b/tests/support/schedule.py
@@ -1,4 +1,4 @@
-"""Random schedules of faults and changes on a site; the seed decides all."""
+"""Random schedules of faults and changes on a site, determined by the seed."""
 
 from .site import FEEDS, TILLS, Site
 
@@ -13,7 +13,7 @@
 
 
 class Schedule:
-    """Failures at least 10 s apart, 20 s on average; changes of targets between."""
+    """Failures at least 10 s apart, 20 s on average, with target changes in between."""
 
     def __init__(self, engine, seed, pairs=False, seconds=90, flows=FLOWS, **options):
         self.every_s = options.pop("every_s", EVERY_S)
@@ -25,7 +25,7 @@
         self.events = []
 
     def run(self):
-        """Run to the end; return the number of broken flows."""
+        """Run the whole schedule; return the number of broken flows."""
         site, net = self.site, self.site.net
         site.open(self.flows, over_s=self.every_s, every_s=self.every_s)
         net.run(self.every_s + 5)
@@ -45,7 +45,7 @@
         return len(site.broken(within_s=self.every_s + 1))
 
     def _fail(self):
-        """Kill entries and replace them, or let one leave in good order."""
+        """Kill entries and replace them, or make one leave gracefully."""
         net = self.site.net
         victims = self.rng.sample(net.ready_names(), 2 if self.pairs else 1)
         if not self.pairs and self.rng.random() < LEAVE_SHARE:
@@ -64,7 +64,7 @@
             self.site.net.start(name)
 
     def _change(self):
-        """Admit or retire a target; readers hear of it at different times."""
+        """Admit or retire a target; readers receive the change at different times."""
         service = self.rng.choice((TILLS, FEEDS))
         admitted = self.site.admitted(service)
         if self.rng.random() < 0.5 or len(admitted) <= 4:
--- a/tests/support/single_policy.py
+++ b/tests/support/single_policy.py
@@ -1,4 +1,4 @@
-"""One request policy without peers, driven by hand."""
+"""One request policy without peers, driven directly by a test."""
 
 import random
 
@@ -8,8 +8,8 @@
 from kumquatshift.measures.coap_packets import flow_of
 
 
-class SettableStanding:
-    """What a test says of the entry's part in every flow."""
+class FakeFlowAuthority:
+    """Flow authority whose answers are set by the test for all flows."""
 
     primary = certain = True
 
@@ -21,11 +21,11 @@
 
 
 class SinglePolicy:
-    """Keeps the time, and the flow of the default caller."""
+    """A request policy with a manual clock and the flow of a default caller."""
 
     def __init__(self, targets=4, slots=2, warm=True, seed=1, **profile):
         self.now = 100.0
-        self.standing = SettableStanding()
+        self.standing = FakeFlowAuthority()
         self.flow = flow_of()
         profiles = {"s": Profile("p", mode=Mode.REQUEST, **profile)}
         members = [
--- a/tests/support/site.py
+++ b/tests/support/site.py
@@ -1,7 +1,7 @@
-"""A small site on the fake network: services, targets and callers that send.
+"""Small site on the simulated network: services, targets and callers.
 
-What callers see is judged here: a flow is broken when it is moved to another
-target, reset, or no longer answered, though its target is there and its
+It also determines which flows are broken: a flow is broken when it moves to another
+target, is reset, or is no longer answered, although its target is present and its
 failure domain in service.
 """
 
@@ -37,7 +37,7 @@
 
 @dataclass
 class Flow:
-    """One caller's flow, as the caller and the targets see it."""
+    """One caller's flow, as seen by the caller and the targets."""
 
     service: Service
     number: int
@@ -59,9 +59,9 @@
             flags = ACK if self.answered_at else SYN
         caller = bytes([10, 9, self.number >> 8 & 255, self.number & 255])
         port = 1000 + self.number % 50000
-        place = address(self.service.address), self.service.port
+        destination = address(self.service.address), self.service.port
         protocol = 6 if self.tcp else 17
-        return udp_packet(caller, port, *place, payload, protocol, flags)
+        return udp_packet(caller, port, *destination, payload, protocol, flags)
 
 
 class Site:
@@ -74,7 +74,7 @@
         self.net = kind(domains, seed=seed, **net)
         self.rng = random.Random(seed + 99)
         self.flows = {}
-        self.was_out = set()
+        self.domains_taken_out = set()
         self.mute = set()
         self.retire_times = {}
         self.received = []
@@ -115,23 +115,23 @@
         ]
 
     def take_out(self, domain, **options):
-        self.was_out.add(domain)
+        self.domains_taken_out.add(domain)
         return self.net.domain(domain, DomainState.OUT, **options)
 
     def bring_back(self, domain, **options):
         return self.net.domain(domain, DomainState.IN, **options)
 
     def open(self, count, over_s=1.0, every_s=5.0, service=None, side=None):
-        """Let callers open flows, and send on each of them from then on."""
-        made = []
+        """Open flows within ``over_s``, and send on each of them every ``every_s``."""
+        opened = []
         for _ in range(count):
             number = len(self.flows)
             kind = service or (TILLS, FEEDS)[number % 2]
             flow = Flow(kind, number, self.net.now, side=side)
             self.flows[flow_key(flow.packet())] = flow
             self.net.at(self.rng.random() * over_s, self._send, flow, every_s)
-            made.append(flow)
-        return made
+            opened.append(flow)
+        return opened
 
     def send(self, flow, **packet):
         names = None
@@ -178,30 +178,30 @@
             flow.answered_at = self.net.now
 
     def _reaches(self, entry, target):
-        """Tell whether an entry and a target are on one side of every cut."""
+        """Return whether no partition separates an entry from a target."""
         return not any(
             (entry, other) in self.net.cuts and (other, entry) in self.net.cuts
             for other in self.net.names_in({target.domain}) - {entry}
         )
 
-    def excused(self, flow):
-        """Tell whether a flow may break: its domain was taken out."""
+    def may_break(self, flow):
+        """Return whether a flow may break because its domain was taken out."""
         target = self.targets.get(flow.host)
-        return target is not None and target.domain in self.was_out
+        return target is not None and target.domain in self.domains_taken_out
 
     def broken(self, flows=None, within_s=6.0):
-        """Return the broken flows; those not answered lately are among them."""
+        """Return the broken flows, including those not answered ``within_s``."""
         return [
             flow
             for flow in flows or self.flows.values()
-            if not self.excused(flow) and not flow.stopped
+            if not self.may_break(flow) and not flow.stopped
             if len(flow.hosts) != 1
             or flow.resets
             or self.net.now - flow.answered_at > within_s
         ]
 
     def packets_to(self, domain, since):
-        """Return the packets that reached a domain's targets from a time on."""
+        """Return the packets that reached a domain's targets since a time."""
         hosts = {host for host, t in self.targets.items() if t.domain == domain}
         return [row for row in self.received if row[1] in hosts and row[0] >= since]
 
--- a/tests/support/small_site.py
+++ b/tests/support/small_site.py
@@ -1,4 +1,4 @@
-"""A fabric, targets and fake entries on loopback, all in one reactor."""
+"""Fabric, targets and fake entries on loopback, all in one reactor."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 
 FEATURES = ("fabric", "target", "bench")
 FIRST_NET = 100
-NETS_A_FEATURE = 20
+NETS_PER_FEATURE = 20
 FABRIC_INI = """
 [fabric]
 address = {address}
@@ -50,21 +50,21 @@
     return response
 
 
-def load(program, text):
+def load_settings(program, text):
     loaded = program.from_text(text)
     assert is_successful(loaded), loaded
     return loaded.unwrap()
 
 
 class SmallSite:
-    """Starts what it is asked for, and ends all of it in `stop`.
+    """Starts components on request and stops all of them in `stop`.
 
-    Features run at the same time, so each one has addresses of its own.
+    Features run concurrently, so each has loopback addresses of its own.
     """
 
     def __init__(self, reactor, feature):
         self.reactor = reactor
-        self.first_net = FIRST_NET + FEATURES.index(feature) * NETS_A_FEATURE
+        self.first_net = FIRST_NET + FEATURES.index(feature) * NETS_PER_FEATURE
         self.fabric_host = self.host(3, 1)
         self.services = {
             "tills": (self.host(9, 1), 5683, "udp"),
@@ -97,7 +97,7 @@
             entries="\n".join(lines),
             services=self.service_lines(),
         )
-        self.fabric = Fabric(load(FabricStandinSettings, text), self.reactor)
+        self.fabric = Fabric(load_settings(FabricStandinSettings, text), self.reactor)
         self.fabric.start()
 
     def start_entry(self, number):
@@ -107,7 +107,7 @@
         self.entries[number] = entry
 
     def routes(self):
-        """Return the hosts of the targets of each service address."""
+        """Return the addresses of the targets by service address."""
         return {
             f"{host}:{port}": [
                 (target.settings.address, 6080)
@@ -129,7 +129,7 @@
             services=self.service_lines(),
             more="\n".join(f"{key} = {value}" for key, value in more.items()),
         )
-        target = Target(load(TargetStandinSettings, text), self.reactor)
+        target = Target(load_settings(TargetStandinSettings, text), self.reactor)
         result_of(ensureDeferred(target.start()))
         self.targets[name] = target
 
--- a/tests/support/stepped.py
+++ b/tests/support/stepped.py
@@ -1,10 +1,10 @@
-"""A platform whose calls wait until the test lets each one through."""
+"""Platform whose calls block until the test releases each of them."""
 
 from twisted.internet.defer import Deferred, succeed
 
 
 class SteppedPlatform:
-    """Passes calls on to another platform, each when `step` is called."""
+    """Forwards calls to another platform, one for each call of `step`."""
 
     STEPPED = ("list_objects", "read_object", "write_object", "delete_object")
 
@@ -19,37 +19,37 @@
         return self._gated(call) if name in self.STEPPED else call
 
     def step(self):
-        """Let the next call through; gives once its answer was handed over."""
+        """Release the next call; the Deferred fires once its answer was delivered."""
         if self.finished:
             return succeed(None)
         if not self.waiting:
             self.arrival = Deferred()
             return self.arrival.addCallback(lambda _: self.step())
-        turn, done = self.waiting.pop(0)
-        turn.callback(None)
+        gate, done = self.waiting.pop(0)
+        gate.callback(None)
         return done
 
     def finish(self, value):
-        """Let steps pass: the caller has ended, and makes no more calls."""
+        """Make further steps return at once: the caller has ended."""
         self.finished = True
-        self._arrived()
+        self._notify_arrival()
         return value
 
-    def _arrived(self):
+    def _notify_arrival(self):
         if self.arrival is not None:
             arrival, self.arrival = self.arrival, None
             arrival.callback(None)
 
     def _gated(self, call):
         def gated(*args):
-            turn, done = Deferred(), Deferred()
-            turn.addCallback(lambda _: call(*args))
+            gate, done = Deferred(), Deferred()
+            gate.addCallback(lambda _: call(*args))
             answer = Deferred()
-            turn.addCallback(answer.callback)
-            turn.addCallback(done.callback)
-            turn.addErrback(done.errback)
-            self.waiting.append((turn, done))
-            self._arrived()
+            gate.addCallback(answer.callback)
+            gate.addCallback(done.callback)
+            gate.addErrback(done.errback)
+            self.waiting.append((gate, done))
+            self._notify_arrival()
             return answer
 
         return gated
--- a/tests/support/unsure_platform.py
+++ b/tests/support/unsure_platform.py
@@ -1,4 +1,4 @@
-"""A platform in memory that loses, delays and staggers answers at random."""
+"""In-memory platform that loses and delays answers at random."""
 
 from returns.result import Failure as Failed
 from twisted.internet.defer import Deferred
@@ -11,21 +11,21 @@
 
 CALL_LIMIT_S = 5
 MAX_DELAY_S = 8
-UNKNOWN = Failure(ErrorKind.OUTCOME_UNKNOWN, "the answer was lost")
-OUT = Failure(ErrorKind.UNAVAILABLE, "out of reach")
+ANSWER_LOST = Failure(ErrorKind.OUTCOME_UNKNOWN, "the answer was lost")
+UNREACHABLE = Failure(ErrorKind.UNAVAILABLE, "the platform is unreachable")
 
 
 class UnsurePlatform:
-    """The platform's port over a real store; ``faulty`` is the share of faults.
+    """Implements the platform port on the real store, with random faults.
 
-    A write takes effect after a random time, perhaps long after its caller has
-    given up; its answer may be lost, and reads may be a few versions stale.
+    A write takes effect after a random delay, possibly long after its caller has
+    given up. Its answer may be lost, and reads may be up to two versions stale.
     """
 
-    def __init__(self, clock, rng, faulty):
+    def __init__(self, clock, rng, fault_probability):
         self.clock = clock
         self.rng = rng
-        self.faulty = faulty
+        self.fault_probability = fault_probability
         self.store = Store()
 
     def write_object(self, body, version, operation):
@@ -38,57 +38,57 @@
         return self._change(lambda: self.store.delete(key, version, operation))
 
     def read_object(self, kind, name):
-        return self._answer(lambda: self._read(kind, name), OUT)
+        return self._answer(lambda: self._read(kind, name), UNREACHABLE)
 
     def watch_objects(self, since, on_event, on_end):
         watch = MemoryWatch(since, on_event, on_end)
-        self.clock.callLater(self._delay_s(), self._tell, watch)
+        self.clock.callLater(self._delay_s(), self._send_events, watch)
         return watch
 
     def _change(self, call):
         done, delay_s = Deferred(), self._delay_s()
-        if self._fault():
-            # The request is lost, or comes in at some time; the answer is lost.
-            if self._fault():
+        if self._draw_fault():
+            # The answer is lost. The request is lost too, or arrives late.
+            if self._draw_fault():
                 delay_s = self.rng.uniform(0, MAX_DELAY_S)
-                self.clock.callLater(delay_s, self._try, call)
+                self.clock.callLater(delay_s, self._apply, call)
             wait_s = self.rng.uniform(0, CALL_LIMIT_S)
-            self.clock.callLater(wait_s, done.callback, Failed(UNKNOWN))
+            self.clock.callLater(wait_s, done.callback, Failed(ANSWER_LOST))
         else:
-            self.clock.callLater(delay_s, lambda: done.callback(self._try(call)))
+            self.clock.callLater(delay_s, lambda: done.callback(self._apply(call)))
         return done
 
     def _answer(self, call, failure):
         done = Deferred()
-        failed = Failed(failure) if self._fault() else None
+        failed = Failed(failure) if self._draw_fault() else None
         self.clock.callLater(self._delay_s(), lambda: done.callback(failed or call()))
         return done
 
-    def _try(self, call):
+    def _apply(self, call):
         try:
             return object_from_json(call())
         except Refused as exc:
-            standing = object_from_json(exc.answer).value_or(None)
-            told = Conflict(ErrorKind.CONFLICT, "refused", "", standing)
-            return Failed(told)
+            current = object_from_json(exc.answer).value_or(None)
+            conflict = Conflict(ErrorKind.CONFLICT, "refused", "", current)
+            return Failed(conflict)
 
     def _read(self, kind, name):
-        stale = self.rng.randrange(3) if self._fault() else 0
+        stale = self.rng.randrange(3) if self._draw_fault() else 0
         version = max(0, self.store.version - stale)
         found = self.store.at(version).get((kind.value, name))
         if found is None:
             return Failed(Failure(ErrorKind.NOT_FOUND, "no such object"))
         return object_from_json(found)
 
-    def _tell(self, watch):
-        if self._fault():
+    def _send_events(self, watch):
+        if self._draw_fault():
             return watch.end()
         for change in self.store.since(watch.since):
-            watch.tell(object_from_json(change).unwrap())
-        return watch.tell(Progress(self.store.version))
+            watch.send(object_from_json(change).unwrap())
+        return watch.send(Progress(self.store.version))
 
-    def _fault(self):
-        return self.rng.random() < self.faulty
+    def _draw_fault(self):
+        return self.rng.random() < self.fault_probability
 
     def _delay_s(self):
         return self.rng.uniform(0.001, 0.5)
@@ -104,17 +104,17 @@
     def stop(self):
         self.stopped = True
 
-    def tell(self, event):
+    def send(self, event):
         if not self.stopped:
             self.on_event(event)
 
     def end(self):
         if not self.stopped:
-            self.on_end(OUT)
+            self.on_end(UNREACHABLE)
 
 
 class NaiveWriter:
-    """Believes that a write without an answer was not made."""
+    """Baseline that takes a write without an answer as not made."""
 
     def __init__(self, platform, clock, make_operation):
         self.platform = platform
--- a/tests/support/waiting.py
+++ b/tests/support/waiting.py
@@ -1,15 +1,15 @@
-"""Lets the real reactor turn until something has come about."""
+"""Run the real reactor until a condition holds or a result is there."""
 
 import asyncio
 import time
 from collections.abc import Awaitable, Callable
 
-TURN_S = 0.002
+ITERATION_S = 0.002
 
 
 def installed_reactor():
-    """Return the reactor that the tests' environment has installed, running."""
-    from twisted.internet import reactor  # noqa: PLC0415 (importing fixes it)
+    """Return the reactor that the test environment installed, started if needed."""
+    from twisted.internet import reactor  # noqa: PLC0415 (importing installs it)
 
     if not reactor.running:
         reactor.startRunning(installSignalHandlers=False)
@@ -17,7 +17,7 @@
 
 
 def use_reactor(context):
-    """Return the running reactor, which ends with the test run of ``context``."""
+    """Return the running reactor, which is shut down after the test run."""
     reactor = installed_reactor()
     if not getattr(reactor, "ends_with_tests", False):
         reactor.ends_with_tests = True
@@ -26,27 +26,27 @@
 
 
 def _shut_down() -> None:
-    """Stop the reactor's threads, which would keep the process from ending."""
+    """Stop the reactor's threads, which would keep the process from exiting."""
     reactor = installed_reactor()
     reactor.fireSystemEvent("shutdown")
-    reactor.iterate(TURN_S)
+    reactor.iterate(ITERATION_S)
 
 
-def wait_until(holds: Callable[[], bool], timeout_s: float = 10.0) -> int:
-    """Turn the reactor until ``holds()``; return the number of turns."""
+def wait_until(condition: Callable[[], bool], timeout_s: float = 10.0) -> int:
+    """Run the reactor until ``condition()``; return the number of iterations."""
     reactor = installed_reactor()
     end_s = time.monotonic() + timeout_s
-    turns = 0
-    while not holds():
+    iterations = 0
+    while not condition():
         if time.monotonic() > end_s:
-            raise AssertionError(f"not so after {timeout_s} s")
-        reactor.iterate(TURN_S)
-        turns += 1
-    return turns
+            raise AssertionError(f"condition not met within {timeout_s} s")
+        reactor.iterate(ITERATION_S)
+        iterations += 1
+    return iterations
 
 
 def result_of(deferred, timeout_s: float = 10.0):
-    """Return a Deferred's result, or raise what it failed with."""
+    """Return the result of a Deferred, or raise its failure."""
     outcome = []
     deferred.addBoth(outcome.append)
     wait_until(lambda: bool(outcome), timeout_s)
