--- a/kumquatshift/adapters/peer_service.py
+++ b/kumquatshift/adapters/peer_service.py
@@ -20,7 +20,7 @@
 from ..direct.peer_updates import PeerSelector, TransferLimiter
 from ..direct.warmup import ASSUMED_DOMAIN_ENTRIES, Warmup
 from .http_server import BUSY_STATUS, PageResponse, PageServer
-from .peers import NEWS_PATH, HeartbeatPort, NewsCodec
+from .peers import NEWS_PATH, HeartbeatPort, PeerUpdateCodec
 
 # Entries that start at the same time have received heartbeats from each other
 # within this time.
@@ -36,7 +36,7 @@
     class FeedReader(Protocol):
         """Makes the calls of one feed, to the store or to other entries."""
 
-        codec: NewsCodec | None
+        codec: PeerUpdateCodec | None
 
         def wake(self) -> None:
             """Make the next call at once, unless the feed reads the store itself."""
@@ -61,7 +61,7 @@
         transfer_limiter: TransferLimiter,
     ):
         self._readers: dict[str, FeedReader] = {}
-        self._codec = NewsCodec()
+        self._codec = PeerUpdateCodec()
         self._started_at = reactor.seconds()
         self._reactor = reactor
         self._members = members
@@ -99,7 +99,7 @@
         ``readers`` make the calls of the feed of the same kind.
         """
         self._feeds = feeds
-        self._codec = NewsCodec()
+        self._codec = PeerUpdateCodec()
         for kind, feed in feeds.items():
             feed.follow(
                 self._members, PeerSelector(kind, timing.fresh_s, self._members)
--- a/kumquatshift/adapters/peers.py
+++ b/kumquatshift/adapters/peers.py
@@ -105,7 +105,7 @@
             self.lost += 1  # Treated as lost in transit; heartbeats repeat.
 
 
-class NewsCodec:
+class PeerUpdateCodec:
     """Encodes and decodes requests for peer updates and the answers to them.
 
     An answer is the feed status as one line of JSON, followed by the rest as
--- a/kumquatshift/platform/store.py
+++ b/kumquatshift/platform/store.py
@@ -19,7 +19,7 @@
     from collections.abc import Callable
     from typing import TypeVar
 
-    from ..adapters.peers import NewsCodec
+    from ..adapters.peers import PeerUpdateCodec
 
     Decoded = TypeVar("Decoded")
 
@@ -40,7 +40,7 @@
         self._reactor = reactor
         self._store_connection = HttpConnection(reactor, address)
         self._feed = feed
-        self.codec: NewsCodec | None = None
+        self.codec: PeerUpdateCodec | None = None
         self._peer_connection: HttpConnection | None = None
         self.outcomes: dict[str, int] = {}
         self.call_latencies: deque[float] = deque(maxlen=MAX_LATENCY_SAMPLES)
--- a/kumquatshift/standins/direct_flows.py
+++ b/kumquatshift/standins/direct_flows.py
@@ -88,8 +88,8 @@
 class FlowTarget:
     """One incarnation of a target; ``send`` sends a packet to the caller.
 
-    While ``is_dark``, it drops all packets and sends none. If `unanswered_every` is
-    set, every n-th request is processed but never answered.
+    While ``is_unresponsive``, it drops all packets and sends none. If
+    `unanswered_every` is set, every n-th request is processed but never answered.
     """
 
     def __init__(self, clock, key: bytes, send: Callable[[bytes], None], work_s=0.02):
@@ -99,7 +99,7 @@
         self.work_s = work_s
         self.slots = 2
         self.queue = 8
-        self.is_dark = False
+        self.is_unresponsive = False
         self.unanswered_every = 0
         self.openings: list[float] = []
         self.runs: list[bytes] = []
@@ -111,7 +111,7 @@
 
     def receive(self, datagram: bytes) -> None:
         """Handle a datagram from an entry."""
-        if self.is_dark or datagram[:8] not in (self.key, bytes(8)):
+        if self.is_unresponsive or datagram[:8] not in (self.key, bytes(8)):
             return
         packet = datagram[8:]
         head = PacketHeader.unpack(packet)
@@ -158,7 +158,7 @@
         seq = (flow.seq + 1 + ANSWER_BYTES * (len(flow.answers) - 1)) & SEQUENCE_MASK
         answer = head.back(ACK, seq, ack).pack(body)
         flow.answers[head.seq] = answer
-        if not self.is_dark:
+        if not self.is_unresponsive:
             self.send(answer)
 
     def _submit(self, job):
