--- a/extras/capacity.py
+++ b/extras/capacity.py
@@ -64,7 +64,7 @@
 
 
 def entries(number: int) -> tuple[Vm, ...]:
-    """Return so many entries, spread over the domains."""
+    """Return ``number`` entries, spread over the domains."""
     return tuple(
         Vm(f"entry-{each:05d}", domain_name(each), f"10.0.{each >> 8}.{each & 255}")
         for each in range(number)
@@ -72,14 +72,14 @@
 
 
 def target(number: int, services: int) -> Target:
-    """Return the target with this number, of one of so many services."""
+    """Return the target with this number, which serves one of ``services`` services."""
     host = f"11.{number >> 16}.{number >> 8 & 255}.{number & 255}"
     service = f"service-{number % services:05d}"
     return Target(f"host-{number:05d}", service, domain_name(number), host, 6080)
 
 
 def objects(number: int) -> list[Versioned]:
-    """Return about so many objects: 15 domains, and five targets per service."""
+    """Return about ``number`` objects: 15 domains, and five targets per service."""
     services = max(1, number // (TARGETS_PER_SERVICE + 1))
     bodies = [(Kind.PROFILE, Profile("long-session"))]
     bodies += [(Kind.DOMAIN, Domain(domain_name(each))) for each in range(DOMAINS)]
@@ -94,7 +94,7 @@
 
 
 def changes(number: int, count: int) -> list[Versioned]:
-    """Return ``count`` changed targets, each of them once."""
+    """Return changes of ``count`` different targets."""
     services = max(1, number // (TARGETS_PER_SERVICE + 1))
     return [
         Versioned(Kind.TARGET, body.name, 2, body, 1)
@@ -187,7 +187,7 @@
 
 
 def heartbeats(number: int) -> tuple[float, ...]:
-    """Measure one second of heartbeats at one entry among so many members."""
+    """Measure one second of heartbeats at one of ``number`` entries."""
     site = Site(number, objects(16))
     site.run(2)
     names = tuple(site.engines)
@@ -302,7 +302,7 @@
     first = next(iter(site.engines))
     hops, sent_bytes = [0], [0]
 
-    def carry(name, actions):
+    def forward(name, actions):
         for action in actions:
             if not isinstance(action, SendPeer):
                 continue
@@ -310,11 +310,11 @@
             hops[0] += 1
             sent_bytes[0] += len(datagram)
             sender, message = decode(SEALER.open(datagram))
-            carry(action.peer, site.engines[action.peer].message(sender, message))
+            forward(action.peer, site.engines[action.peer].message(sender, message))
 
     def open_all():
         for caller in range(number):
-            carry(first, site.engines[first].packet(packet_of(caller)))
+            forward(first, site.engines[first].packet(packet_of(caller)))
 
     elapsed_s = time_call(open_all)
     relay = Relay(packet_of(1), 0, "", (), (first,))
--- a/kumquatshift/measures/packets.py
+++ b/kumquatshift/measures/packets.py
@@ -62,7 +62,7 @@
 
 
 def measure_growth() -> tuple[Measure, ...]:
-    """Time the home path with flow tables of growing size.
+    """Time packets at their primary, with flow tables of growing size.
 
     The cost of a packet is taken relative to the bare relay in the same rounds,
     since the three sizes are timed one after another and the load of the machine
--- a/kumquatshift/standins/load.py
+++ b/kumquatshift/standins/load.py
@@ -29,8 +29,8 @@
     def __init__(self, settings: LoadSettings, capacity, clock):
         self.settings = settings
         self.capacity = capacity
-        kept = 1 + round(settings.load_lag_s / SAMPLE_PERIOD_S)
-        self.samples = deque([0], maxlen=kept)
+        sample_count = 1 + round(settings.load_lag_s / SAMPLE_PERIOD_S)
+        self.samples = deque([0], maxlen=sample_count)
         self.loop = LoopingCall(self.sample)
         self.loop.clock = clock
 
